--- a/core/src/main/java/org/jasminehub/core/experts/ExpertMap.java
+++ b/core/src/main/java/org/jasminehub/core/experts/ExpertMap.java
@@ -4,11 +4,11 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Which expert stands in which slot of which rank, for every layer; immutable and safe for use by several threads.
+ * Assigns an expert to each slot of each rank, for every layer. Immutable and thread-safe.
  *
  * <pre>{@code
- * ExpertMap map = ExpertMap.striped(8, 9, 64, 60); // 8 ranks of 9 slots each: 8 spare slots a layer
- * int expert = map.expert(0, 17);                  // layer 0, slot 17, which stands on rank 17 / 9
+ * ExpertMap map = ExpertMap.striped(8, 9, 64, 60); // 8 ranks of 9 slots each: 8 spare slots per layer
+ * int expert = map.expert(0, 17);                  // layer 0, slot 17, which belongs to rank 17 / 9
  * }</pre>
  */
 public final class ExpertMap {
@@ -17,7 +17,7 @@
     private final int experts;
     private final int[][] slots;
 
-    /** Creates a map from {@code slots[layer][slot]}; each expert must stand in every layer at least once. */
+    /** Creates a map from {@code slots[layer][slot]}; each layer must contain each expert at least once. */
     public ExpertMap(int ranks, int slotsPerRank, int experts, int[][] slots) {
         this.ranks = (int) Checks.positive("ranks", ranks);
         this.slotsPerRank = (int) Checks.positive("slotsPerRank", slotsPerRank);
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Returns the map that hands out experts to ranks in turn; each further turn starts one rank on, so that replicas
-     * stand on different ranks.
+     * Returns a map that assigns experts to ranks round-robin. Each further round over the experts starts one rank
+     * later, so that the replicas of an expert are on different ranks.
      */
     public static ExpertMap striped(int ranks, int slotsPerRank, int experts, int layers) {
         int[][] slots = new int[layers][ranks * slotsPerRank];
@@ -52,12 +52,12 @@
         return ranks;
     }
 
-    /** Returns how many slots a rank has in each layer. */
+    /** Returns the number of slots per rank in each layer. */
     public int slotsPerRank() {
         return slotsPerRank;
     }
 
-    /** Returns the number of experts of a layer. */
+    /** Returns the number of distinct experts per layer. */
     public int experts() {
         return experts;
     }
@@ -67,7 +67,7 @@
         return slots.length;
     }
 
-    /** Returns the expert that stands in {@code slot} of {@code layer}. */
+    /** Returns the expert in {@code slot} of {@code layer}. */
     public int expert(int layer, int slot) {
         return slots[layer][slot];
     }
@@ -82,7 +82,7 @@
         return copy(slots);
     }
 
-    /** Returns how many slots a change to {@code next} has to load. */
+    /** Returns the number of slots that must be loaded to change to {@code next}. */
     public int movesTo(ExpertMap next) {
         int moves = 0;
         for (int layer = 0; layer < slots.length; layer++) {
--- a/core/src/main/java/org/jasminehub/core/experts/FullRepack.java
+++ b/core/src/main/java/org/jasminehub/core/experts/FullRepack.java
@@ -5,15 +5,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Builds a map from the load alone, whatever it costs to change to; a baseline to compare {@link MapPlanner} with.
+ * Builds a map from the load alone, regardless of the cost of changing to it. Serves as a baseline for
+ * {@link MapPlanner}.
  *
- * <p>Spare slots go one by one to the expert with the largest share; replicas are then placed by falling share, each on
- * the rank that finishes it first.
+ * <p>Each spare slot is given to the expert with the largest load per replica. Replicas are then placed in descending
+ * order of load, each on the rank that would finish it first.
  */
 public final class FullRepack {
     private FullRepack() {}
 
-    /** Returns the packed map of the same shape as {@code map}. */
+    /** Returns a new map with the same dimensions as {@code map}. */
     public static ExpertMap pack(ExpertMap map, GroupLoad load) {
         int[][] slots = new int[map.layers()][];
         for (int layer = 0; layer < slots.length; layer++) {
@@ -45,12 +46,12 @@
         int[] replicas = new int[map.experts()];
         Arrays.fill(replicas, 1);
         for (int spare = map.ranks() * map.slotsPerRank() - map.experts(); spare > 0; spare--) {
-            int most = 0;
+            int top = 0;
             for (int expert = 1; expert < replicas.length; expert++) {
-                boolean larger = expertMillis[expert] / replicas[expert] > expertMillis[most] / replicas[most];
-                most = larger ? expert : most;
+                boolean larger = expertMillis[expert] / replicas[expert] > expertMillis[top] / replicas[top];
+                top = larger ? expert : top;
             }
-            replicas[most]++;
+            replicas[top]++;
         }
         return replicas;
     }
--- a/core/src/main/java/org/jasminehub/core/experts/LayerBalance.java
+++ b/core/src/main/java/org/jasminehub/core/experts/LayerBalance.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 import org.jspecify.annotations.Nullable;
 
-/** The working state of one layer while moves are tried on it; not safe for use by several threads. */
+/** The mutable state of one layer while the planner tries changes on it. Not thread-safe. */
 final class LayerBalance {
+    /** Smaller differences are treated as rounding errors. */
     private static final double MIN_RELIEF_MILLIS = 1e-9;
 
     private final int slotsPerRank;
@@ -37,16 +38,18 @@
         return slots.clone();
     }
 
-    /** Returns the change that relieves the slowest rank most for each slot it loads, or null where none does. */
+    /**
+     * Returns the change with the largest reduction of the slowest rank's time per loaded slot, or null if none helps.
+     */
     @Nullable
-    SlotChange best() {
-        int hot = hottest();
+    SlotChange bestChange() {
+        int slowest = slowestRank();
         SlotChange best = null;
-        for (int source = hot * slotsPerRank; source < (hot + 1) * slotsPerRank; source++) {
+        for (int source = slowest * slotsPerRank; source < (slowest + 1) * slotsPerRank; source++) {
             for (int target = 0; target < slots.length; target++) {
-                if (rank(target) != hot && slots[source] != slots[target]) {
-                    best = better(best, swap(source, target, hot));
-                    best = better(best, replication(source, target, hot, best));
+                if (rank(target) != slowest && slots[source] != slots[target]) {
+                    best = better(best, swap(source, target, slowest));
+                    best = better(best, replication(source, target, slowest, best));
                 }
             }
         }
@@ -66,40 +69,40 @@
         recompute();
     }
 
-    /** Gives an expert of the hot rank one replica more, in a slot whose expert has another one. */
-    private @Nullable SlotChange replication(int source, int target, int hot, @Nullable SlotChange best) {
+    /** Adds a replica of an expert of the slowest rank, replacing an expert that has another replica. */
+    private @Nullable SlotChange replication(int source, int target, int slowest, @Nullable SlotChange best) {
         int expert = slots[source];
         int displaced = slots[target];
-        int cold = rank(target);
-        if (replicas[displaced] < 2 || holds(cold, expert)) {
+        int targetRank = rank(target);
+        if (replicas[displaced] < 2 || holds(targetRank, expert)) {
             return null;
         }
         double share = share(expert, 1);
-        double relieved = rankMillis[hot] - (share(expert, 0) - share) / speed[hot];
-        double loaded = rankMillis[cold] + (share - share(displaced, 0)) / speed[cold];
+        double relieved = rankMillis[slowest] - (share(expert, 0) - share) / speed[slowest];
+        double loaded = rankMillis[targetRank] + (share - share(displaced, 0)) / speed[targetRank];
         double peak = Math.max(relieved, loaded);
         double reliefToBeat = best == null ? 0 : best.reliefPerMove();
-        if (rankMillis[hot] - peak <= reliefToBeat) {
+        if (rankMillis[slowest] - peak <= reliefToBeat) {
             return null;
         }
         double extra = share(displaced, -1) - share(displaced, 0);
         for (int slot = 0; slot < slots.length; slot++) {
             if (slots[slot] == displaced && slot != target) {
                 int rank = rank(slot);
-                double base = rank == hot ? relieved : rank == cold ? loaded : rankMillis[rank];
+                double base = rank == slowest ? relieved : rank == targetRank ? loaded : rankMillis[rank];
                 peak = Math.max(peak, base + extra / speed[rank]);
             }
         }
-        return change(source, target, false, rankMillis[hot] - peak);
+        return change(source, target, false, rankMillis[slowest] - peak);
     }
 
-    /** Exchanges an expert of the hot rank for one of another rank. */
-    private @Nullable SlotChange swap(int source, int target, int hot) {
-        int cold = rank(target);
+    /** Exchanges an expert of the slowest rank for one of another rank. */
+    private @Nullable SlotChange swap(int source, int target, int slowest) {
+        int targetRank = rank(target);
         double moved = share(slots[source], 0) - share(slots[target], 0);
-        double relieved = rankMillis[hot] - moved / speed[hot];
-        double loaded = rankMillis[cold] + moved / speed[cold];
-        return change(source, target, true, rankMillis[hot] - Math.max(relieved, loaded));
+        double relieved = rankMillis[slowest] - moved / speed[slowest];
+        double loaded = rankMillis[targetRank] + moved / speed[targetRank];
+        return change(source, target, true, rankMillis[slowest] - Math.max(relieved, loaded));
     }
 
     private static @Nullable SlotChange change(int source, int target, boolean swap, double reliefMillis) {
@@ -129,12 +132,12 @@
         }
     }
 
-    private int hottest() {
-        int hot = 0;
+    private int slowestRank() {
+        int slowest = 0;
         for (int rank = 1; rank < rankMillis.length; rank++) {
-            hot = rankMillis[rank] > rankMillis[hot] ? rank : hot;
+            slowest = rankMillis[rank] > rankMillis[slowest] ? rank : slowest;
         }
-        return hot;
+        return slowest;
     }
 
     private int rank(int slot) {
--- a/core/src/main/java/org/jasminehub/core/experts/LayerChain.java
+++ b/core/src/main/java/org/jasminehub/core/experts/LayerChain.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** A layer's changes, each of which relieves the rank that is slowest after the one before. */
+/** A sequence of changes of one layer; each change relieves the rank that is slowest after the previous change. */
 final class LayerChain {
     private final int layer;
     private final List<int[]> slots = new ArrayList<>();
@@ -19,11 +19,11 @@
         LayerBalance balance = new LayerBalance(map, load, layer);
         LayerChain chain = new LayerChain(layer);
         chain.add(balance, 0);
-        SlotChange change = balance.best();
+        SlotChange change = balance.bestChange();
         while (change != null && chain.slots.size() <= maxChanges) {
             balance.apply(change);
             chain.add(balance, change.moves());
-            change = balance.best();
+            change = balance.bestChange();
         }
         return chain;
     }
@@ -32,7 +32,7 @@
         return slots.get(changes);
     }
 
-    /** Returns the part after {@code from} changes that gains most per move, or null where nothing more is gained. */
+    /** Returns the part after the first {@code from} changes with the largest gain per move, or null if none gains. */
     @Nullable
     LayerPart bestPart(int from) {
         LayerPart best = null;
--- a/core/src/main/java/org/jasminehub/core/experts/LayerPart.java
+++ b/core/src/main/java/org/jasminehub/core/experts/LayerPart.java
@@ -1,12 +1,12 @@
 package org.jasminehub.core.experts;
 
 /**
- * Consecutive changes of one layer that are taken or left together.
+ * Consecutive changes of one layer that are applied together or not at all.
  *
  * @param layer the layer
- * @param end the number of changes of the layer's chain up to the end of this part
- * @param moves how many experts the part loads
- * @param gainMillis by how much it shortens a step
+ * @param end the number of changes in the layer's chain up to and including this part
+ * @param moves the number of experts to load
+ * @param gainMillis the reduction of the step time
  */
 record LayerPart(int layer, int end, int moves, double gainMillis) {
     double gainPerMove() {
--- a/core/src/main/java/org/jasminehub/core/experts/MapPlan.java
+++ b/core/src/main/java/org/jasminehub/core/experts/MapPlan.java
@@ -1,12 +1,12 @@
 package org.jasminehub.core.experts;
 
 /**
- * A planner's answer.
+ * The result of planning a map change.
  *
- * @param map the map to change to; the present one where {@code moves} is 0
- * @param moves how many experts the change loads
- * @param before the step time on the present map
+ * @param map the map to change to; equal to the current map if {@code moves} is 0
+ * @param moves the number of experts to load
+ * @param before the step time on the current map
  * @param after the step time on {@code map}
- * @param reason why it moves no more than that
+ * @param reason why the plan contains no more moves
  */
 public record MapPlan(ExpertMap map, int moves, StepTime before, StepTime after, PlanReason reason) {}
--- a/core/src/main/java/org/jasminehub/core/experts/MapPlanner.java
+++ b/core/src/main/java/org/jasminehub/core/experts/MapPlanner.java
@@ -8,21 +8,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses the moves whose gain over the horizon repays them, by the weights of the team's document.
+ * Plans moves whose gain over the planning horizon exceeds their cost, weighted by the team's document.
  *
  * <pre>{@code
  * MapPlan plan = MapPlanner.plan(map, load, document.experts(), limits);
  * }</pre>
  *
- * <p>Each layer is relieved rank by rank; the resulting chain of changes is cut into parts that each gain less per move
- * than the one before, and the best parts of all layers are taken while they repay themselves and the budget lasts.
+ * <p>For each layer, computes a chain of changes that each relieve the slowest rank, and splits it into parts with
+ * decreasing gain per move. The parts of all layers are then selected by gain per move, as long as their gain exceeds
+ * their cost and the move budget allows it.
  */
 public final class MapPlanner {
     private static final int MAX_CHANGES_PER_LAYER = 32;
 
     private MapPlanner() {}
 
-    /** Returns the change of {@code map} that pays under {@code load}, possibly none. */
+    /** Returns the plan for {@code map} under {@code load}; it contains no moves if none is worthwhile. */
     public static MapPlan plan(ExpertMap map, GroupLoad load, ExpertRule rule, PlanLimits limits) {
         PriorityQueue<LayerPart> parts = new PriorityQueue<>(
                 Comparator.comparingDouble(LayerPart::gainPerMove).reversed().thenComparingInt(LayerPart::layer));
--- a/core/src/main/java/org/jasminehub/core/experts/PlanLimits.java
+++ b/core/src/main/java/org/jasminehub/core/experts/PlanLimits.java
@@ -3,15 +3,15 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What a change of map may cost and how long it has to pay.
+ * Limits and cost parameters for planning a map change.
  *
- * @param horizonSteps the steps over which a gain is counted
- * @param moveMillis the group's time that loading one expert takes away
- * @param hysteresis how many times its cost a gain must be worth, at least 1
- * @param maxMoves the most experts that one change may load
+ * @param horizonSteps the number of steps over which the gain is accumulated
+ * @param moveMillis the time that the group loses by loading one expert
+ * @param hysteresis the minimum ratio of gain to cost, at least 1
+ * @param maxMoves the maximum number of experts that one change may load
  */
 public record PlanLimits(long horizonSteps, double moveMillis, double hysteresis, int maxMoves) {
-    /** Creates checked limits. */
+    /** Creates limits after checking their ranges. */
     public PlanLimits {
         Checks.positive("horizonSteps", horizonSteps);
         Checks.that(moveMillis >= 0, "moveMillis", moveMillis, "a value of at least 0");
--- a/core/src/main/java/org/jasminehub/core/experts/PlanMade.java
+++ b/core/src/main/java/org/jasminehub/core/experts/PlanMade.java
@@ -4,16 +4,16 @@
 import org.jasminehub.core.event.EventKind;
 
 /**
- * A plan with its reasons.
+ * The event of a planned map change.
  *
- * @param group the group
- * @param reason why it moves no more than it does
- * @param moves how many experts it loads
- * @param sizeBytes the bytes that this takes from the weight store
- * @param skewBefore the slowest rank's time over the mean on the present map
- * @param skewAfter the same on the planned map
- * @param lostMillisBefore the time that a step loses to its slowest ranks on the present map
- * @param lostMillisAfter the same on the planned map
+ * @param group the name of the group
+ * @param reason why the plan contains no more moves
+ * @param moves the number of experts to load
+ * @param sizeBytes the number of bytes to read from the weight store
+ * @param skewBefore the ratio of the slowest rank's time to the mean, on the current map
+ * @param skewAfter the same ratio on the planned map
+ * @param lostMillisBefore the time per step lost by waiting for the slowest ranks, on the current map
+ * @param lostMillisAfter the same time on the planned map
  */
 public record PlanMade(
         String group,
@@ -25,7 +25,7 @@
         double lostMillisBefore,
         double lostMillisAfter)
         implements Event {
-    /** Returns the event of {@code plan} for a group whose experts take {@code expertSizeBytes} each. */
+    /** Returns the event of {@code plan} for a group whose experts have a size of {@code expertSizeBytes}. */
     public static PlanMade of(String group, MapPlan plan, long expertSizeBytes) {
         return new PlanMade(
                 group,
--- a/core/src/main/java/org/jasminehub/core/experts/PlanReason.java
+++ b/core/src/main/java/org/jasminehub/core/experts/PlanReason.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.experts;
 
-/** Why a plan moves as many experts as it does. */
+/** The reason why a plan contains no more moves. */
 public enum PlanReason {
-    /** No move makes a step faster. */
+    /** No move shortens a step. */
     BALANCED,
-    /** Moves would make steps faster, but not by enough to repay them. */
+    /** Some moves would shorten steps, but their gain does not exceed their cost. */
     NOT_REPAID,
-    /** Every move that repays itself is in the plan. */
+    /** The plan contains every move whose gain exceeds its cost. */
     REPAID,
-    /** More moves would repay themselves than the move budget allows. */
+    /** More moves would be worthwhile than the move budget allows. */
     BUDGET_SPENT
 }
--- a/core/src/main/java/org/jasminehub/core/experts/SlotChange.java
+++ b/core/src/main/java/org/jasminehub/core/experts/SlotChange.java
@@ -1,12 +1,12 @@
 package org.jasminehub.core.experts;
 
 /**
- * One change of a layer: the expert in {@code source} is also put, or moved, into {@code target}.
+ * One change of a layer: replicates or moves the expert in slot {@code source} to slot {@code target}.
  *
- * @param source the slot of the slowest rank
- * @param target the slot of another rank
- * @param swap whether the target's expert takes the source's slot; otherwise the source keeps its expert
- * @param reliefMillis by how much the slowest rank's time falls below its old value
+ * @param source a slot of the slowest rank
+ * @param target a slot of another rank
+ * @param swap whether the two slots exchange their experts; otherwise the source keeps its expert
+ * @param reliefMillis the reduction of the slowest rank's time
  */
 record SlotChange(int source, int target, boolean swap, double reliefMillis) {
     int moves() {
--- a/core/src/main/java/org/jasminehub/core/experts/change/ChangeCoordinator.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/ChangeCoordinator.java
@@ -6,30 +6,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The holder's side of a change of map, as pure functions over {@link ChangeState}.
+ * The protocol of a map change as run by the lease holder, as pure functions of {@link ChangeState}.
  *
- * <p>The caller sends {@link #order} to each rank and appends {@link #record} whenever they differ from what it last
- * sent, repeats both at intervals, and feeds the answers in:
+ * <p>The caller sends {@link #order} to each rank and appends {@link #record} to the log whenever they change, resends
+ * both at intervals, and passes in the replies:
  *
  * <pre>{@code
  * ChangeState state = coordinator.takeOver(fencingNumber, ranks, lastRecord);
- * state = coordinator.replied(state, rank, reply);
- * state = coordinator.recorded(state, record, tookEffect);
+ * state = coordinator.onReply(state, rank, reply);
+ * state = coordinator.onRecord(state, record, tookEffect);
  * }</pre>
  *
- * <p>Nothing is decided before every rank has answered under the holder's own number; from then on no rank takes an
- * order of an earlier holder. What the ranks have agreed to decides; the log names the map where no rank is left that
- * knows it, and orders the restarted ranks' return. Immutable and safe for use by several threads.
+ * <p>A new holder decides nothing before every rank has replied under the holder's own fencing number; from then on,
+ * the ranks reject orders of earlier holders. A change that an earlier holder left open is resolved from the states
+ * that the ranks report. The log is needed to find a commit for which all ranks are still armed, to find the map
+ * version when no rank knows it, and to admit restarted ranks. Immutable and thread-safe.
  */
 public final class ChangeCoordinator {
     private final long marginSteps;
 
-    /** Creates a coordinator that sets the switch step {@code marginSteps} after the present one, at least 1. */
+    /** Creates a coordinator that schedules the switch {@code marginSteps}, at least 1, after the current step. */
     public ChangeCoordinator(long marginSteps) {
         this.marginSteps = Checks.positive("marginSteps", marginSteps);
     }
 
-    /** Returns the first state of a new holder; {@code lastRecord} is the group's newest record on the log. */
+    /** Returns the initial state of a new holder; {@code lastRecord} is the newest record of the group on the log. */
     public ChangeState takeOver(long fencingNumber, int ranks, MapRecord lastRecord) {
         long version = lastRecord.mapVersion();
         return new ChangeState(
@@ -43,15 +44,18 @@
                 lastRecord);
     }
 
-    /** Returns the state after a change to {@code nextVersion} was begun; only an idle group can begin one. */
+    /** Returns the state after starting a change to {@code nextVersion}; the group must be idle. */
     public ChangeState begin(ChangeState state, long nextVersion) {
         Checks.that(state.phase() == ChangePhase.IDLE, "phase", state.phase(), "IDLE");
         Checks.that(nextVersion > state.mapVersion(), "nextVersion", nextVersion, "newer than the map in use");
         return advance(state.withChange(ChangePhase.LOADING, state.mapVersion(), nextVersion, 0));
     }
 
-    /** Returns the state after {@code rank} gave {@code reply}; late and foreign replies change nothing. */
-    public ChangeState replied(ChangeState state, int rank, RankReply reply) {
+    /**
+     * Returns the state after {@code reply} was received from {@code rank}. A reply with a higher fencing number fences
+     * this holder; outdated replies and replies to other holders are ignored.
+     */
+    public ChangeState onReply(ChangeState state, int rank, RankReply reply) {
         if (reply.state().fencingNumber() > state.fencingNumber()) {
             return state.withPhase(ChangePhase.FENCED);
         }
@@ -62,52 +66,52 @@
         if (known != null && known.isNewerThan(reply.state())) {
             return state;
         }
-        ChangeState heard = state.withRank(rank, reply.state(), reply.presentStep());
+        ChangeState updated = state.withRank(rank, reply.state(), reply.presentStep());
         boolean refused = state.phase() == ChangePhase.ARMING && isRefusal(reply.code());
-        return advance(refused ? abandon(heard) : heard);
+        return advance(refused ? abortChange(updated) : updated);
     }
 
     /**
-     * Returns the state after {@code record} was seen on the log; {@code tookEffect} is false where a newer lease stood
-     * before it.
+     * Returns the state after {@code record} was read from the log; {@code tookEffect} is false if a newer lease
+     * precedes it there.
      */
-    public ChangeState recorded(ChangeState state, MapRecord record, boolean tookEffect) {
+    public ChangeState onRecord(ChangeState state, MapRecord record, boolean tookEffect) {
         if (record.fencingNumber() != state.fencingNumber()) {
             return state;
         }
         if (!tookEffect) {
             return state.withPhase(ChangePhase.FENCED);
         }
-        boolean decides = state.phase() == ChangePhase.COMMITTING
+        boolean isDecision = state.phase() == ChangePhase.COMMITTING
                 && record(state).filter(record::equals).isPresent();
         ChangeState known = state.withRecorded(record);
-        return advance(decides ? known.withPhase(ChangePhase.GOING) : known);
+        return advance(isDecision ? known.withPhase(ChangePhase.GOING) : known);
     }
 
-    /** Returns the state after the phase took too long: a change that is not decided yet is given up. */
-    public ChangeState timedOut(ChangeState state) {
+    /** Returns the state after the current phase has timed out; a change that is not decided yet is aborted. */
+    public ChangeState onTimeout(ChangeState state) {
         return switch (state.phase()) {
-            case LOADING, ARMING, COMMITTING -> advance(abandon(state));
+            case LOADING, ARMING, COMMITTING -> advance(abortChange(state));
             default -> state;
         };
     }
 
-    /** Returns the order that {@code rank} is to have now, or nothing. */
+    /** Returns the order to send to {@code rank} now, or empty if this holder has been fenced. */
     public Optional<RankOrder> order(ChangeState state, int rank) {
         if (state.phase() == ChangePhase.FENCED) {
             return Optional.empty();
         }
         RankState known = state.ranks().get(rank);
-        RankOrder special = known == null ? null : orderOfPhase(state, known);
-        return Optional.of(special != null ? special : new RankOrder.Survey(state.fencingNumber()));
+        RankOrder phaseOrder = known == null ? null : phaseOrder(state, known);
+        return Optional.of(phaseOrder != null ? phaseOrder : new RankOrder.Survey(state.fencingNumber()));
     }
 
-    /** Returns the record that is to be on the log and is not known to be there, or nothing. */
+    /** Returns the record to append to the log, or empty if there is none or it is known to be on the log. */
     public Optional<MapRecord> record(ChangeState state) {
         return switch (state.phase()) {
             case COMMITTING -> Optional.of(newRecord(state, MapRecord.Kind.COMMIT, state.nextVersion()));
             case GOING, JOINING ->
-                state.any(rank -> !rank.isJoined()) && !namesAll(state)
+                state.any(rank -> !rank.isJoined()) && !lastRecordNamesAllRanks(state)
                         ? Optional.of(newRecord(state, MapRecord.Kind.ROSTER, state.nextVersion()))
                         : Optional.empty();
             case ABORTING, IDLE -> repairRecord(state);
@@ -117,16 +121,16 @@
 
     private static Optional<MapRecord> repairRecord(ChangeState state) {
         MapRecord last = state.recorded();
-        boolean right = last != null && last.mapVersion() == state.mapVersion();
-        return right ? Optional.empty() : Optional.of(newRecord(state, MapRecord.Kind.ABORT, state.mapVersion()));
+        boolean isCurrent = last != null && last.mapVersion() == state.mapVersion();
+        return isCurrent ? Optional.empty() : Optional.of(newRecord(state, MapRecord.Kind.ABORT, state.mapVersion()));
     }
 
     private static MapRecord newRecord(ChangeState state, MapRecord.Kind kind, long version) {
         return new MapRecord(kind, state.fencingNumber(), version, state.incarnations());
     }
 
-    /** Tells whether the holder's own last record lets in every rank as it is now. */
-    private static boolean namesAll(ChangeState state) {
+    /** Returns whether the last record was written by this holder and names the current incarnation of every rank. */
+    private static boolean lastRecordNamesAllRanks(ChangeState state) {
         MapRecord last = state.recorded();
         return last != null
                 && last.fencingNumber() == state.fencingNumber()
@@ -135,7 +139,7 @@
     }
 
     @SuppressWarnings("StatementSwitchToExpressionSwitch")
-    private static @Nullable RankOrder orderOfPhase(ChangeState state, RankState known) {
+    private static @Nullable RankOrder phaseOrder(ChangeState state, RankState known) {
         long number = state.fencingNumber();
         long incarnation = known.incarnation();
         long next = state.nextVersion();
@@ -160,7 +164,7 @@
     }
 
     private static @Nullable RankOrder joinOrder(ChangeState state, RankState known) {
-        if (known.isJoined() || !namesAll(state)) {
+        if (known.isJoined() || !lastRecordNamesAllRanks(state)) {
             return null;
         }
         return new RankOrder.Join(
@@ -173,21 +177,21 @@
 
     private ChangeState advance(ChangeState state) {
         return switch (state.phase()) {
-            case SURVEYING -> state.allHeard() ? resolve(state) : state;
+            case SURVEYING -> state.allReported() ? resolve(state) : state;
             case LOADING, ARMING, COMMITTING -> advanceChange(state);
             case GOING ->
                 state.all(rank -> rank.runs(state.nextVersion()))
                         ? state.withChange(ChangePhase.IDLE, state.nextVersion(), state.nextVersion(), 0)
                         : state;
-            case ABORTING -> state.all(rank -> !rank.isJoined() || isEnded(state, rank)) ? settle(state) : state;
-            case JOINING, IDLE -> settle(state);
+            case ABORTING -> state.all(rank -> !rank.isJoined() || isEnded(state, rank)) ? closeChange(state) : state;
+            case JOINING, IDLE -> closeChange(state);
             case FENCED -> state;
         };
     }
 
     private ChangeState advanceChange(ChangeState state) {
         if (state.any(rank -> !rank.isJoined())) {
-            return advance(abandon(state));
+            return advance(abortChange(state));
         }
         if (state.phase() == ChangePhase.LOADING && state.all(rank -> rank.loadedVersion() >= state.nextVersion())) {
             long step = state.presentStep() + marginSteps;
@@ -199,17 +203,23 @@
         return state;
     }
 
-    /** Gives up the open change; a commit that is in doubt leaves the log in doubt until another record is seen. */
-    private static ChangeState abandon(ChangeState state) {
+    /**
+     * Aborts the open change. If a commit may have been appended, the newest record is unknown until another one is
+     * read.
+     */
+    private static ChangeState abortChange(ChangeState state) {
         boolean inDoubt = state.phase() == ChangePhase.COMMITTING;
         ChangeState aborting = state.withPhase(ChangePhase.ABORTING);
         return inDoubt ? aborting.withRecorded(null) : aborting;
     }
 
-    /** Closes the change on the present map: idle if the group is whole, otherwise the missing ranks come first. */
-    private static ChangeState settle(ChangeState state) {
-        boolean whole = state.all(RankState::isJoined);
-        ChangePhase phase = whole ? ChangePhase.IDLE : ChangePhase.JOINING;
+    /**
+     * Closes the change on the current map: the group is idle if every rank has joined; otherwise missing ranks must
+     * join.
+     */
+    private static ChangeState closeChange(ChangeState state) {
+        boolean allJoined = state.all(RankState::isJoined);
+        ChangePhase phase = allJoined ? ChangePhase.IDLE : ChangePhase.JOINING;
         return state.withChange(phase, state.mapVersion(), state.mapVersion(), 0);
     }
 
@@ -221,27 +231,27 @@
         return code == OrderCode.STEP_PASSED || code == OrderCode.ENDED || code == OrderCode.OTHER_CHANGE;
     }
 
-    /** Decides what an earlier holder left open, from what every rank reported under this holder's number. */
+    /** Resolves a change that an earlier holder left open, from the states that all ranks reported to this holder. */
     private ChangeState resolve(ChangeState state) {
         Optional<RankState> going = first(state, RankMode.GOING);
         if (going.isPresent()) {
-            return advance(openAs(state, ChangePhase.GOING, going.get()));
+            return advance(reopenChange(state, ChangePhase.GOING, going.get()));
         }
         Optional<RankState> armed = first(state, RankMode.ARMED);
         if (armed.isPresent()) {
             boolean reached = state.any(rank -> rank.runs(armed.get().nextVersion()));
             boolean go = reached || isCommitted(state, armed.get().nextVersion());
-            return advance(openAs(state, go ? ChangePhase.GOING : ChangePhase.ABORTING, armed.get()));
+            return advance(reopenChange(state, go ? ChangePhase.GOING : ChangePhase.ABORTING, armed.get()));
         }
         long version = first(state, RankMode.RUNNING).map(RankState::mapVersion).orElse(state.mapVersion());
-        return settle(state.withChange(ChangePhase.JOINING, version, version, 0));
+        return closeChange(state.withChange(ChangePhase.JOINING, version, version, 0));
     }
 
-    private static ChangeState openAs(ChangeState state, ChangePhase phase, RankState rank) {
+    private static ChangeState reopenChange(ChangeState state, ChangePhase phase, RankState rank) {
         return state.withChange(phase, rank.mapVersion(), rank.nextVersion(), rank.switchStep());
     }
 
-    /** Tells whether the log has decided on {@code version} and every rank is still armed as the record names it. */
+    /** Returns whether the log commits {@code version} and every rank named in the record is still armed for it. */
     private static boolean isCommitted(ChangeState state, long version) {
         MapRecord last = state.recorded();
         return last != null
@@ -252,6 +262,6 @@
     }
 
     private static Optional<RankState> first(ChangeState state, RankMode mode) {
-        return state.heard().stream().filter(rank -> rank.mode() == mode).findFirst();
+        return state.reported().stream().filter(rank -> rank.mode() == mode).findFirst();
     }
 }
--- a/core/src/main/java/org/jasminehub/core/experts/change/ChangeState.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/ChangeState.java
@@ -8,16 +8,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the holder of a shard's lease knows of one group; immutable.
+ * The state of one group as known to the holder of the shard's lease. Immutable.
  *
- * @param fencingNumber the number of the holder's lease
- * @param phase where the holder stands
- * @param mapVersion the version that the group runs on, or ran on before the open change
- * @param nextVersion the version of the open change; equal to {@code mapVersion} while there is none
- * @param switchStep the first step of the next map
- * @param presentStep the highest step that a rank has reported
- * @param ranks the newest state that each rank reported under this number, null before its first report
- * @param recorded the newest record of the group on the log, null while it is in doubt
+ * @param fencingNumber the fencing number of the holder's lease
+ * @param phase the phase of the change
+ * @param mapVersion the map version that the group runs on, or ran on before the open change
+ * @param nextVersion the map version of the open change; equal to {@code mapVersion} if no change is open
+ * @param switchStep the first step that runs on the next map
+ * @param presentStep the highest step that any rank has reported
+ * @param ranks the newest state that each rank reported under this fencing number, null before its first report
+ * @param recorded the newest record of the group on the log, null while it is unknown
  */
 public record ChangeState(
         long fencingNumber,
@@ -34,25 +34,25 @@
         ranks = Collections.unmodifiableList(new ArrayList<>(ranks));
     }
 
-    /** Returns the ranks that have reported. */
-    List<RankState> heard() {
+    /** Returns the states of the ranks that have reported. */
+    List<RankState> reported() {
         return ranks.stream().filter(Objects::nonNull).toList();
     }
 
-    boolean allHeard() {
+    boolean allReported() {
         return ranks.stream().allMatch(Objects::nonNull);
     }
 
     boolean all(Predicate<RankState> condition) {
-        return allHeard() && heard().stream().allMatch(condition);
+        return allReported() && reported().stream().allMatch(condition);
     }
 
     boolean any(Predicate<RankState> condition) {
-        return heard().stream().anyMatch(condition);
+        return reported().stream().anyMatch(condition);
     }
 
     List<Long> incarnations() {
-        return heard().stream().map(RankState::incarnation).toList();
+        return reported().stream().map(RankState::incarnation).toList();
     }
 
     ChangeState withPhase(ChangePhase newPhase) {
--- a/core/src/main/java/org/jasminehub/core/experts/change/GroupReadiness.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/GroupReadiness.java
@@ -8,15 +8,15 @@
 import org.jasminehub.core.experts.ExpertEventKind;
 
 /**
- * Whether a group takes requests, from what is known of its ranks; immutable.
+ * Whether a group accepts requests, derived from the known states of its ranks. Immutable.
  *
  * <pre>{@code
  * GroupReadiness next = GroupReadiness.of(group, reachable, state.ranks());
  * next.changeFrom(previous).ifPresent(events::emit);
  * }</pre>
  *
- * @param group the group
- * @param missingRanks the ranks that are unreachable or take part in no step, in order
+ * @param group the name of the group
+ * @param missingRanks the ranks that are unreachable or have not joined, in ascending order
  */
 public record GroupReadiness(String group, List<Integer> missingRanks) {
     /** Creates a readiness with a copy of {@code missingRanks}. */
@@ -24,21 +24,21 @@
         missingRanks = List.copyOf(missingRanks);
     }
 
-    /** Returns the readiness of a group of which only some ranks are {@code reachable}, listed by rank. */
+    /** Returns the readiness of a group; {@code reachable} tells for each rank whether it can be reached. */
     public static GroupReadiness of(String group, List<Boolean> reachable, ChangeState state) {
         List<Integer> missing = IntStream.range(0, reachable.size())
-                .filter(rank -> !reachable.get(rank) || !takesPart(state, rank))
+                .filter(rank -> !reachable.get(rank) || !hasJoined(state, rank))
                 .boxed()
                 .toList();
         return new GroupReadiness(group, missing);
     }
 
-    /** Tells whether the group takes requests. */
+    /** Returns whether the group accepts requests. */
     public boolean isRoutable() {
         return missingRanks.isEmpty();
     }
 
-    /** Returns the event for the change from {@code before}, or nothing where the group's routing stays the same. */
+    /** Returns the event for the change from {@code before}, or empty if the group's routability is unchanged. */
     public Optional<Event> changeFrom(GroupReadiness before) {
         if (before.isRoutable() == isRoutable()) {
             return Optional.empty();
@@ -46,12 +46,12 @@
         return Optional.of(isRoutable() ? new GroupWhole(group) : new GroupIncomplete(group, missingRanks));
     }
 
-    private static boolean takesPart(ChangeState state, int rank) {
+    private static boolean hasJoined(ChangeState state, int rank) {
         RankState known = state.ranks().get(rank);
         return known != null && known.isJoined();
     }
 
-    /** A group takes requests again. */
+    /** The event of a group that accepts requests again. */
     public record GroupWhole(String group) implements Event {
         @Override
         public EventKind kind() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A group takes no requests. */
+    /** The event of a group that accepts no requests because ranks are missing. */
     public record GroupIncomplete(String group, List<Integer> missingRanks) implements Event {
         @Override
         public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/experts/change/MapRecord.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/MapRecord.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What the platform's log says of a group's map.
+ * A record on the platform's log about the map of a group.
  *
  * <p>A record takes effect only if its fencing number is that of the shard's newest lease at the record's offset.
  *
- * @param kind why it was written
- * @param fencingNumber the number of the writer's lease
- * @param mapVersion the version that the group runs on from here on
- * @param incarnations the incarnation of each rank on which the record relies
+ * @param kind the reason for the record
+ * @param fencingNumber the fencing number of the writer's lease
+ * @param mapVersion the map version that the group runs on after this record
+ * @param incarnations the incarnation of each rank for which the record is valid
  */
 public record MapRecord(Kind kind, long fencingNumber, long mapVersion, List<Long> incarnations) {
-    /** Why a record was written. */
+    /** The reason for a record. */
     public enum Kind {
-        /** All ranks named were armed, and the change takes place. */
+        /** Every rank is armed; the change is committed. */
         COMMIT,
-        /** The change was given up. */
+        /** The change was aborted. */
         ABORT,
-        /** A rank that had restarted is let in. */
+        /** A restarted rank is admitted. */
         ROSTER
     }
 
--- a/core/src/main/java/org/jasminehub/core/experts/change/OrderCode.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/OrderCode.java
@@ -1,21 +1,21 @@
 package org.jasminehub.core.experts.change;
 
-/** How a rank took an order. */
+/** The result of an order at a rank. */
 public enum OrderCode {
-    /** Done, now or by an earlier copy of the same order. */
+    /** The order is carried out, now or by an earlier copy of it. */
     ACCEPTED,
-    /** The rank was shown a higher fencing number. */
+    /** The rank has received a higher fencing number. */
     FENCED,
     /** The order names another incarnation of the rank. */
     OTHER_INCARNATION,
-    /** The rank takes part in no step. */
+    /** The rank has not joined the group. */
     NOT_JOINED,
-    /** The rank has not loaded the map's experts yet. */
+    /** The rank has not loaded the experts of the map yet. */
     NOT_LOADED,
-    /** The rank has begun the switch step or a later one. */
+    /** The rank has already begun the switch step or a later one. */
     STEP_PASSED,
-    /** The change has ended at this rank. */
+    /** The change has already ended at this rank. */
     ENDED,
-    /** The rank's state does not fit the order. */
+    /** The rank is in a state in which it cannot carry out the order. */
     OTHER_CHANGE
 }
--- a/core/src/main/java/org/jasminehub/core/experts/change/RankMachine.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/RankMachine.java
@@ -3,50 +3,52 @@
 import java.util.Optional;
 
 /**
- * The rank's side of a change of map, as pure functions; the agent keeps the state and drives the engine by it.
+ * The state machine of one rank in a map change, as pure functions. The agent stores the state and controls the engine
+ * accordingly.
  *
  * <pre>{@code
  * RankReply reply = RankMachine.apply(state, order, engine.presentStep());
  * state = reply.state();
  * }</pre>
  *
- * <p>An engine that ignores fencing numbers is reached through its agent only, so the check here protects it too.
+ * <p>Engines that do not check fencing numbers are reached only through their agent, so the check in this class
+ * protects them as well.
  */
 public final class RankMachine {
     private RankMachine() {}
 
     /**
-     * Applies {@code order} to a rank that has reached {@code presentStep}; the reply holds the new state.
+     * Applies {@code order} to a rank that has reached {@code presentStep}; the reply contains the new state.
      *
      * <p>Must be atomic with respect to {@link #begin}: no step may begin between reading {@code presentStep} and
-     * putting the new state in force.
+     * storing the new state.
      */
     public static RankReply apply(RankState state, RankOrder order, long presentStep) {
         if (order.fencingNumber() < state.fencingNumber()) {
             return new RankReply(order.fencingNumber(), OrderCode.FENCED, state, presentStep);
         }
-        RankState seen = state.withFencingNumber(order.fencingNumber());
+        RankState updated = state.withFencingNumber(order.fencingNumber());
         if (order instanceof RankOrder.Load load) {
-            return load(seen, load, presentStep);
+            return load(updated, load, presentStep);
         }
         if (order instanceof RankOrder.Arm arm) {
-            return arm(seen, arm, presentStep);
+            return arm(updated, arm, presentStep);
         }
         if (order instanceof RankOrder.Go go) {
-            return go(seen, go, presentStep);
+            return go(updated, go, presentStep);
         }
         if (order instanceof RankOrder.Abort abort) {
-            return abort(seen, abort, presentStep);
+            return abort(updated, abort, presentStep);
         }
         if (order instanceof RankOrder.Join join) {
-            return join(seen, join, presentStep);
+            return join(updated, join, presentStep);
         }
-        return reply(order, OrderCode.ACCEPTED, seen, presentStep);
+        return reply(order, OrderCode.ACCEPTED, updated, presentStep);
     }
 
     /**
-     * Returns the state in which the rank runs {@code step}, or nothing where it must wait; the step runs on the
-     * returned state's {@code mapVersion}.
+     * Returns the state in which the rank runs {@code step}, or empty if it must wait. The step runs on the
+     * {@code mapVersion} of the returned state.
      */
     public static Optional<RankState> begin(RankState state, long step) {
         return switch (state.mode()) {
@@ -57,7 +59,7 @@
         };
     }
 
-    /** Returns the state after the experts of {@code version} have arrived in the rank's memory. */
+    /** Returns the state after the experts of {@code version} have been loaded into the rank's memory. */
     public static RankState loaded(RankState state, long version) {
         return state.loadedVersion() >= version ? state : state.withLoaded(version);
     }
--- a/core/src/main/java/org/jasminehub/core/experts/change/RankMode.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/RankMode.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.experts.change;
 
-/** What a rank does when it comes to its next step. */
+/** Determines whether a rank runs its next step, and on which map. */
 public enum RankMode {
-    /** It takes part in no step until it is told to join. */
+    /** The rank runs no steps until it receives a join order. */
     OUT,
-    /** It runs every step on its map. */
+    /** The rank runs every step on its current map. */
     RUNNING,
-    /** It runs on its map up to the switch step and waits there until told to go or to abort. */
+    /** The rank runs on its current map and stops before the switch step until it receives a go or abort order. */
     ARMED,
-    /** It runs on its map up to the switch step and on the next map from there on. */
+    /** The rank runs on its current map before the switch step and on the next map from the switch step on. */
     GOING
 }
--- a/core/src/main/java/org/jasminehub/core/experts/change/RankReply.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/RankReply.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.experts.change;
 
 /**
- * A rank's answer to an order.
+ * The reply of a rank to an order.
  *
- * @param fencingNumber the number that the order carried
- * @param code how the order was taken
- * @param state the rank's state after it
- * @param presentStep the step that the rank had reached
+ * @param fencingNumber the fencing number of the order
+ * @param code the result of the order
+ * @param state the state of the rank after the order
+ * @param presentStep the step that the rank has reached
  */
 public record RankReply(long fencingNumber, OrderCode code, RankState state, long presentStep) {}
--- a/core/src/main/java/org/jasminehub/core/experts/change/RankState.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/RankState.java
@@ -1,17 +1,17 @@
 package org.jasminehub.core.experts.change;
 
 /**
- * What one rank, together with its agent, has agreed to; immutable.
+ * The state to which one rank and its agent have committed. Immutable.
  *
- * @param incarnation grows with every start of the rank's engine or agent
- * @param revision counts the changes of this state within an incarnation, so that a late report can be told
- * @param fencingNumber the highest fencing number that the rank was shown, 0 for none
- * @param mode what the rank does at its next step
- * @param mapVersion the version of the map it runs on, 0 while out
- * @param nextVersion the version it changes to; equal to {@code mapVersion} while no change is open
- * @param switchStep the first step of the next map, 0 while no change is open
- * @param loadedVersion the newest version whose experts are all in the rank's memory
- * @param endedVersion the highest version that can no longer be armed here
+ * @param incarnation increases with every start of the rank's engine or agent
+ * @param revision counts the changes of this state within an incarnation, so that outdated reports can be recognized
+ * @param fencingNumber the highest fencing number that the rank has received, 0 if none
+ * @param mode determines how the rank runs its next step
+ * @param mapVersion the version of the map in use, 0 while the rank has not joined
+ * @param nextVersion the version of the open change; equal to {@code mapVersion} if no change is open
+ * @param switchStep the first step on the next map, 0 if no change is open
+ * @param loadedVersion the newest version whose experts are all loaded into the rank's memory
+ * @param endedVersion the highest version that can no longer be armed on this rank
  */
 public record RankState(
         long incarnation,
@@ -24,27 +24,27 @@
         long loadedVersion,
         long endedVersion) {
 
-    /** Returns the state of a rank that has just started and takes part in nothing yet. */
+    /** Returns the state of a rank that has just started and has not joined yet. */
     public static RankState started(long incarnation) {
         return new RankState(incarnation, 0, 0, RankMode.OUT, 0, 0, 0, 0, 0);
     }
 
-    /** Tells whether the rank takes part in steps. */
+    /** Returns whether the rank takes part in the steps of its group. */
     public boolean isJoined() {
         return mode != RankMode.OUT;
     }
 
-    /** Tells whether the rank runs on {@code version} with no change open. */
+    /** Returns whether the rank runs on {@code version} and no change is open. */
     public boolean runs(long version) {
         return mode == RankMode.RUNNING && mapVersion == version;
     }
 
-    /** Tells whether the rank waits for the decision on {@code version}. */
+    /** Returns whether the rank is armed for {@code version} and waits for the decision. */
     public boolean isArmedFor(long version) {
         return mode == RankMode.ARMED && nextVersion == version;
     }
 
-    /** Tells whether this report is newer than {@code other}, which may be of an earlier incarnation. */
+    /** Returns whether this state is newer than {@code other}, which may be of another incarnation. */
     boolean isNewerThan(RankState other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
--- a/core/src/main/java/org/jasminehub/core/experts/change/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/package-info.java
@@ -1,4 +1,4 @@
-/** Changes of a group's expert map such that every step runs on one map in all ranks. */
+/** The protocol that changes the expert map of a group such that all ranks run every step on the same map. */
 @NullMarked
 package org.jasminehub.core.experts.change;
 
--- a/core/src/main/java/org/jasminehub/core/experts/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/experts/package-info.java
@@ -1,4 +1,4 @@
-/** Which ranks of a group hold which experts, and when moving one pays. */
+/** Placement of experts on the ranks of a group, and planning of worthwhile moves. */
 @NullMarked
 package org.jasminehub.core.experts;
 
--- a/core/src/main/java/org/jasminehub/core/experts/placement/DemandWindow.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/DemandWindow.java
@@ -8,32 +8,37 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a group's requests choose at present, from the choices of the last fraction of a second.
+ * Counts how often the requests of a group chose each expert during the last fraction of a second.
  *
- * <p>Load pattern: which experts are in demand changes at once, every few seconds, and stays the same in between. A
- * window that spans such a shift shows a mixture that no map suits, and a change of map that was planned from it blocks
- * the next one for as long as its copies take. The window therefore begins anew at a shift, and {@link #isSettled} tells
- * when it can be planned from.
+ * <p>The set of experts in demand shifts abruptly every few seconds and is stable in between. A window that spans a
+ * shift contains a mixture that no map suits, and a map change planned from it would block the next one until its
+ * copies are complete. Therefore the window restarts at each shift, and {@link #isSettled} returns whether it is
+ * suitable for planning.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class DemandWindow {
-    /** Each rank's counts are read once in this time, and a pass of a loaded group takes about as long. */
+    /**
+     * The interval at which the counts of each rank are read, which is also about the duration of a pass under load.
+     */
     private static final long BUCKET_MILLIS = 100;
 
-    /** Enough passes to tell hot experts from cold ones. */
+    /** Enough passes to distinguish experts in high demand from the others. */
     private static final int MAX_BUCKETS = 5;
 
-    /** Buckets on each side of a shift; with one alone a single long prompt would look like a shift. */
+    /**
+     * The number of buckets compared on each side of a shift. With only one, a single long prompt would look like a
+     * shift.
+     */
     private static final int MIN_BUCKETS = 2;
 
     /**
-     * The part of all choices that must have moved to other experts for a shift. On a bench day (e0f8fc1b) it was 0.12
-     * or less in nine of ten windows between shifts, and 0.34 or more at each of five shifts.
+     * The minimum share of choices that moved to other experts at a shift. In a benchmark run (e0f8fc1b), this share
+     * was at most 0.12 in nine of ten windows between shifts and at least 0.34 at each of five shifts.
      */
     private static final double SHIFT_DISTANCE = 0.22;
 
-    /** The same for the newest bucket alone, which may hold a shift that began in it. */
+    /** The corresponding share for the newest bucket alone, in which a shift may have begun. */
     private static final double UNSETTLED_DISTANCE = 0.18;
 
     private record Bucket(long startMillis, double[][] choices) {}
@@ -42,14 +47,17 @@
     private final int experts;
     private final Deque<Bucket> closed = new ArrayDeque<>();
     private Bucket open;
-    private long shiftedMillis = Long.MIN_VALUE;
+    private long lastShiftMillis = Long.MIN_VALUE;
 
-    /** The bucket in which a shift was noticed: part of its choices may be older, so it goes as soon as others suffice. */
-    private @Nullable Bucket mayHoldBoth;
+    /**
+     * The bucket in which the last shift was detected. Some of its choices may precede the shift, so it is dropped as
+     * soon as there are enough later buckets.
+     */
+    private @Nullable Bucket shiftBucket;
 
     private boolean isSettled;
 
-    /** Creates a window without choices, for a group that places {@code experts} in each of {@code layers}. */
+    /** Creates an empty window for a group with {@code experts} experts in each of {@code layers} layers. */
     public DemandWindow(int layers, int experts, long nowMillis) {
         this.layers = (int) Checks.positive("layers", layers);
         this.experts = (int) Checks.positive("experts", experts);
@@ -57,35 +65,35 @@
     }
 
     /**
-     * Adds what one rank's requests chose since its last report.
+     * Adds the choices that one rank has counted since its last report.
      *
-     * @param choices how often each expert was chosen, layer by layer
+     * @param choices how often each expert was chosen, ordered by layer and expert
      */
     public void add(long nowMillis, long[] choices) {
         Checks.that(choices.length == size(), "choices", choices.length, size() + " counts");
         if (nowMillis - open.startMillis() >= BUCKET_MILLIS) {
             closed.addLast(open);
             open = new Bucket(nowMillis, new double[layers][experts]);
-            judge(nowMillis);
+            updateSettled(nowMillis);
         }
         for (int index = 0; index < choices.length; index++) {
             open.choices()[index / experts][index % experts] += choices[index];
         }
     }
 
-    /** Returns how many experts are counted, over all layers. */
+    /** Returns the number of counts in a report, one per layer and expert. */
     public int size() {
         return layers * experts;
     }
 
-    /** Returns whether the window spans no shift, as far as can be told, and is long enough to plan from. */
+    /** Returns whether the window is long enough for planning and no shift within it has been detected. */
     public boolean isSettled() {
         return isSettled;
     }
 
-    /** Returns when the last shift was noticed, {@link Long#MIN_VALUE} for never. */
-    public long shiftedMillis() {
-        return shiftedMillis;
+    /** Returns the time at which the last shift was detected, or {@link Long#MIN_VALUE} if there was none. */
+    public long lastShiftMillis() {
+        return lastShiftMillis;
     }
 
     /** Returns how often each expert was chosen in the window, {@code [layer][expert]}. */
@@ -95,30 +103,30 @@
         return sum(all);
     }
 
-    private void judge(long nowMillis) {
+    private void updateSettled(long nowMillis) {
         List<Bucket> buckets = new ArrayList<>(closed);
-        int recent = buckets.size() - MIN_BUCKETS;
-        if (recent >= MIN_BUCKETS
-                && distance(buckets.subList(0, recent), buckets.subList(recent, buckets.size())) >= SHIFT_DISTANCE) {
-            shiftedMillis = nowMillis;
+        int split = buckets.size() - MIN_BUCKETS;
+        if (split >= MIN_BUCKETS
+                && distance(buckets.subList(0, split), buckets.subList(split, buckets.size())) >= SHIFT_DISTANCE) {
+            lastShiftMillis = nowMillis;
             Bucket last = closed.removeLast();
             closed.clear();
             closed.addLast(last);
-            mayHoldBoth = last;
-        } else if (closed.size() > MIN_BUCKETS && closed.peekFirst() == mayHoldBoth) {
+            shiftBucket = last;
+        } else if (closed.size() > MIN_BUCKETS && closed.peekFirst() == shiftBucket) {
             closed.removeFirst();
         }
         while (closed.size() > MAX_BUCKETS) {
             closed.removeFirst();
         }
         buckets = new ArrayList<>(closed);
-        int older = buckets.size() - 1;
-        boolean isNewestOdd = older >= MIN_BUCKETS
-                && distance(buckets.subList(0, older), buckets.subList(older, buckets.size())) >= UNSETTLED_DISTANCE;
-        isSettled = buckets.size() >= MIN_BUCKETS && !isNewestOdd;
+        int newest = buckets.size() - 1;
+        boolean isNewestOutlier = newest >= MIN_BUCKETS
+                && distance(buckets.subList(0, newest), buckets.subList(newest, buckets.size())) >= UNSETTLED_DISTANCE;
+        isSettled = buckets.size() >= MIN_BUCKETS && !isNewestOutlier;
     }
 
-    /** Returns the part of choices that differs between two spans, 0 to 1, averaged over layers. */
+    /** Returns the share of choices that differ between two spans, 0 to 1, averaged over all layers. */
     private double distance(List<Bucket> before, List<Bucket> after) {
         double[][] first = sum(before);
         double[][] second = sum(after);
--- a/core/src/main/java/org/jasminehub/core/experts/placement/LayerLoad.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/LayerLoad.java
@@ -2,26 +2,26 @@
 
 import java.util.Arrays;
 
-/** One layer's holdings while changes are tried on them; not safe for use by several threads. */
+/** The mutable assignment of experts to ranks in one layer, on which the planner tries changes. Not thread-safe. */
 final class LayerLoad {
-    /** Stands for the rank or expert that a change does not touch. */
+    /** Denotes that a change affects no rank or expert. */
     static final int NONE = -1;
 
-    /** High enough that the most loaded ranks decide, and a power that three squarings give. */
+    /** High enough that the most loaded ranks dominate the mean, and computable by squaring three times. */
     private static final double SMOOTH_POWER = 8;
 
     private final double[] expertLoad;
-    private final double[] rankPace;
-    private final double total;
+    private final double[] rankSlowdown;
+    private final double totalLoad;
     private final boolean[][] holds;
     private final int[] replicas;
     private final int[] held;
     private final double[] rankLoad;
 
-    LayerLoad(ReplicaMap map, int layer, double[] expertLoad, double[] rankPace) {
+    LayerLoad(ReplicaMap map, int layer, double[] expertLoad, double[] rankSlowdown) {
         this.expertLoad = expertLoad;
-        this.rankPace = rankPace;
-        this.total = Arrays.stream(expertLoad).sum();
+        this.rankSlowdown = rankSlowdown;
+        this.totalLoad = Arrays.stream(expertLoad).sum();
         this.holds = new boolean[map.ranks()][map.experts()];
         this.replicas = new int[map.experts()];
         this.held = new int[map.ranks()];
@@ -44,7 +44,7 @@
         return replicas[expert];
     }
 
-    int heldBy(int rank) {
+    int heldCount(int rank) {
         return held[rank];
     }
 
@@ -56,30 +56,30 @@
         return expertLoad[expert];
     }
 
-    int hottest() {
-        int hot = 0;
+    int mostLoadedRank() {
+        int mostLoaded = 0;
         for (int rank = 1; rank < rankLoad.length; rank++) {
-            hot = rankLoad[rank] > rankLoad[hot] ? rank : hot;
+            mostLoaded = rankLoad[rank] > rankLoad[mostLoaded] ? rank : mostLoaded;
         }
-        return hot;
+        return mostLoaded;
     }
 
-    /** Returns the most loaded rank's load over the mean, 1 where there is no load. */
+    /** Returns the ratio of the most loaded rank's load to the mean, or 1 if there is no load. */
     double skew() {
-        return total <= 0 ? 1 : rankLoad[hottest()] * rankLoad.length / total;
+        return totalLoad <= 0 ? 1 : rankLoad[mostLoadedRank()] * rankLoad.length / totalLoad;
     }
 
     /**
-     * Returns a smooth form of {@link #skew}: it falls whenever one of the most loaded ranks is relieved, also where two
-     * of them are equal and the maximum alone would not move.
+     * Returns a smooth approximation of {@link #skew}: the power mean of the relative rank loads. It decreases whenever
+     * one of the most loaded ranks is relieved, even if another rank has the same load and the maximum stays the same.
      */
     double smoothSkew() {
-        if (total <= 0) {
+        if (totalLoad <= 0) {
             return 1;
         }
         double sum = 0;
         for (double load : rankLoad) {
-            double relative = load * rankLoad.length / total;
+            double relative = load * rankLoad.length / totalLoad;
             double square = relative * relative;
             double fourth = square * square;
             sum += fourth * fourth;
@@ -89,23 +89,23 @@
 
     /** Adds {@code expert} to {@code rank}. */
     void add(int rank, int expert) {
-        shift(expert, -1);
+        addShares(expert, -1);
         holds[rank][expert] = true;
         replicas[expert]++;
         held[rank]++;
-        shift(expert, 1);
+        addShares(expert, 1);
     }
 
-    /** Takes {@code expert} from {@code rank}. */
+    /** Removes {@code expert} from {@code rank}. */
     void remove(int rank, int expert) {
-        shift(expert, -1);
+        addShares(expert, -1);
         holds[rank][expert] = false;
         replicas[expert]--;
         held[rank]--;
-        shift(expert, 1);
+        addShares(expert, 1);
     }
 
-    int[] toArray(int rank) {
+    int[] heldExperts(int rank) {
         int[] result = new int[held[rank]];
         int next = 0;
         for (int expert = 0; expert < replicas.length; expert++) {
@@ -116,14 +116,15 @@
         return result;
     }
 
-    private void shift(int expert, int sign) {
+    /** Adds the load of {@code expert}, times {@code sign}, to the ranks that hold it. */
+    private void addShares(int expert, int sign) {
         if (replicas[expert] == 0) {
             return;
         }
         double share = sign * expertLoad[expert] / replicas[expert];
         for (int rank = 0; rank < rankLoad.length; rank++) {
             if (holds[rank][expert]) {
-                rankLoad[rank] += share * rankPace[rank];
+                rankLoad[rank] += share * rankSlowdown[rank];
             }
         }
     }
@@ -131,7 +132,7 @@
     private void recompute() {
         Arrays.fill(rankLoad, 0);
         for (int expert = 0; expert < replicas.length; expert++) {
-            shift(expert, 1);
+            addShares(expert, 1);
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/experts/placement/MapChangePolicy.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/MapChangePolicy.java
@@ -5,28 +5,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides the next orders that bring all ranks of a group to the same new map at the same step.
+ * Determines the next orders that make all ranks of a group switch to a new map at the same step.
  *
- * <p>The order of a change: every rank prepares the map; one rank holds a step ahead; every rank arms the map for that
- * step; the step is released once every rank is armed. A held step cannot begin, so no rank can switch before all of
- * them will. Orders may be lost, repeated or carried out late, and coordinators may change or overlap; the decision
- * depends on nothing but what the ranks say, and it only ever completes a change that has been armed. It takes an armed
- * map back only when a newer one has been prepared somewhere, since the armed one can then never be complete.
+ * <p>A change proceeds as follows: every rank prepares the map; one rank holds a future step; every rank arms the map
+ * for that step; the step is released once every rank is armed. A held step cannot begin, so no rank can switch before
+ * all ranks are armed.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Orders may be lost, repeated or delayed, and several coordinators may be active at once. The decision therefore
+ * depends only on the reported states of the ranks, and a change that has been armed is always completed if possible.
+ * An armed map is disarmed only if some rank has prepared a newer one, because then the armed one can no longer be
+ * armed on every rank.
+ *
+ * <p>Stateless and thread-safe.
  */
 public final class MapChangePolicy {
     private MapChangePolicy() {}
 
     /**
-     * Returns the orders that are due now, none where the ranks are in order or disagree about the epoch.
+     * Returns the orders to send now; empty if there is nothing to do, the group is not open, or the ranks disagree
+     * about the epoch.
      *
-     * @param views what each rank said last, all ranks of the group
-     * @param wantedVersion the map that this coordinator wants, 0 where it wants none
-     * @param marginSteps how far ahead a step is held, enough for the other orders to arrive meanwhile
+     * @param views the last reported state of each rank of the group
+     * @param wantedVersion the version of the map that this coordinator wants to change to, 0 if none
+     * @param marginSteps how many steps ahead of the newest step to hold; must leave enough time for the other orders
+     *     to arrive
      */
     public static List<RankOrder> nextOrders(List<RankView> views, long wantedVersion, long marginSteps) {
-        if (views.isEmpty() || !areInOneEpoch(views)) {
+        if (views.isEmpty() || !areOpenInSameEpoch(views)) {
             return List.of();
         }
         RankView armed = newestArmed(views);
@@ -36,7 +41,7 @@
         long newestMap = views.stream().mapToLong(RankView::mapVersion).max().orElse(0);
         boolean isUniform = views.stream().allMatch(view -> view.mapVersion() == newestMap);
         if (!isUniform) {
-            // Ranks switch together; a view that differs is older than the others.
+            // All ranks switch at the same step, so the views with an older map are outdated.
             return List.of();
         }
         long prepared = views.get(0).preparedVersion();
@@ -54,12 +59,12 @@
                 .toList();
     }
 
-    /** Returns whether a step is held that only a complete change can release, so that one must be made. */
-    public static boolean needsChange(List<RankView> views) {
+    /** Returns whether any rank holds a step; only a completed change releases it. */
+    public static boolean hasHeldStep(List<RankView> views) {
         return views.stream().anyMatch(view -> view.heldStep() > 0);
     }
 
-    private static boolean areInOneEpoch(List<RankView> views) {
+    private static boolean areOpenInSameEpoch(List<RankView> views) {
         long epoch = views.get(0).epoch();
         return views.stream().allMatch(view -> view.epoch() == epoch && view.isOpen());
     }
@@ -97,11 +102,14 @@
                     .map(view -> new RankOrder(view.rank(), RankOrder.Kind.ARM, version, step))
                     .toList();
         }
-        return takeBack(views, version);
+        return disarmSuperseded(views, version);
     }
 
-    /** Some rank has a newer map prepared, or lost the armed one: it can never be armed everywhere. */
-    private static List<RankOrder> takeBack(List<RankView> views, long version) {
+    /**
+     * Called when {@code version} cannot be armed on every rank now. Disarms older armed maps, and {@code version}
+     * itself only if some rank has prepared a newer map.
+     */
+    private static List<RankOrder> disarmSuperseded(List<RankView> views, long version) {
         List<RankOrder> orders = new ArrayList<>();
         boolean isSuperseded = views.stream().anyMatch(view -> view.preparedVersion() > version);
         for (RankView view : views) {
--- a/core/src/main/java/org/jasminehub/core/experts/placement/PlacementLimits.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/PlacementLimits.java
@@ -3,15 +3,15 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What one change of map may do.
+ * Limits for one map change.
  *
- * @param placesPerRank experts that a rank can hold in a layer
- * @param newPerLayer experts that may be new to a rank in a layer
- * @param copiesPerRank experts that may be new to a rank over all layers; they are copied one after the other
- * @param minGainPerCopy by how much each copy must bring the smooth skew down, averaged over layers
+ * @param placesPerRank the number of experts that a rank can hold per layer
+ * @param newPerLayer the maximum number of experts copied to a rank per layer
+ * @param copiesPerRank the maximum number of experts copied to a rank over all layers; a rank copies them sequentially
+ * @param minGainPerCopy the minimum reduction of the smooth skew per copy, averaged over all layers
  */
 public record PlacementLimits(int placesPerRank, int newPerLayer, int copiesPerRank, double minGainPerCopy) {
-    /** Creates limits. */
+    /** Creates limits after checking their ranges. */
     public PlacementLimits {
         Checks.positive("placesPerRank", placesPerRank);
         Checks.notNegative("newPerLayer", newPerLayer);
--- a/core/src/main/java/org/jasminehub/core/experts/placement/PlacementMove.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/PlacementMove.java
@@ -1,37 +1,37 @@
 package org.jasminehub.core.experts.placement;
 
 /**
- * One change of a layer that relieves its hot rank.
+ * One change of a layer that relieves its most loaded rank.
  *
- * @param source the hot rank
- * @param expert its expert
- * @param target the rank that gets a replica, or {@link LayerLoad#NONE}
- * @param displaced the expert that makes room there, or {@link LayerLoad#NONE}
- * @param returned the displaced expert where the hot rank takes it in exchange, or {@link LayerLoad#NONE}
- * @param leavesSource whether the hot rank gives its replica up
- * @param gain by how much the layer's smooth skew falls
+ * @param source the most loaded rank
+ * @param expert an expert that it holds
+ * @param target the rank that receives a replica of the expert, or {@link LayerLoad#NONE}
+ * @param displaced the expert that is removed from the target, or {@link LayerLoad#NONE}
+ * @param returned the displaced expert if the source receives it in exchange, or {@link LayerLoad#NONE}
+ * @param leavesSource whether the expert is removed from the source
+ * @param gain the reduction of the layer's smooth skew
  */
 record PlacementMove(
         int source, int expert, int target, int displaced, int returned, boolean leavesSource, double gain) {
-    /** A change without a copy is weighed as a small part of one, so that it goes first. */
-    private static final double FREE_COPIES = 0.1;
+    /** The number of copies assumed for a change without any copy; less than 1 so that such changes are preferred. */
+    private static final double MIN_COUNTED_COPIES = 0.1;
 
-    /** The hot rank gives up one of several replicas. */
+    /** Removes one of several replicas from the source. */
     static PlacementMove drop(int source, int expert) {
         return new PlacementMove(source, expert, LayerLoad.NONE, LayerLoad.NONE, LayerLoad.NONE, true, 0);
     }
 
-    /** Another rank gets a replica too, in the place of {@code displaced} if that is an expert. */
+    /** Adds a replica on another rank, which replaces {@code displaced} unless that is {@link LayerLoad#NONE}. */
     static PlacementMove replicate(int source, int expert, int target, int displaced) {
         return new PlacementMove(source, expert, target, displaced, LayerLoad.NONE, false, 0);
     }
 
-    /** Another rank gets the replica of the hot rank. */
+    /** Moves the replica of the source to another rank. */
     static PlacementMove move(int source, int expert, int target) {
         return new PlacementMove(source, expert, target, LayerLoad.NONE, LayerLoad.NONE, true, 0);
     }
 
-    /** Two ranks exchange experts. */
+    /** Exchanges experts between two ranks. */
     static PlacementMove exchange(int source, int expert, int target, int displaced) {
         return new PlacementMove(source, expert, target, displaced, displaced, true, 0);
     }
@@ -41,7 +41,7 @@
     }
 
     double gainPerCopy() {
-        return gain / Math.max(FREE_COPIES, copies());
+        return gain / Math.max(MIN_COUNTED_COPIES, copies());
     }
 
     PlacementMove withGain(double newGain) {
--- a/core/src/main/java/org/jasminehub/core/experts/placement/PlacementPlan.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/PlacementPlan.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.experts.placement;
 
 /**
- * A planner's answer.
+ * The result of planning a placement change.
  *
- * @param map the map to change to, the present one where nothing is worth changing
- * @param copies how many experts have to be copied to a rank
- * @param skewBefore the most loaded rank over the mean on the present map
- * @param skewAfter the same on {@code map}
+ * @param map the map to change to; the current map if no change is worthwhile
+ * @param copies the total number of experts to copy
+ * @param skewBefore the ratio of the most loaded rank to the mean, on the current map
+ * @param skewAfter the same ratio on {@code map}
  */
 public record PlacementPlan(ReplicaMap map, int copies, double skewBefore, double skewAfter) {}
--- a/core/src/main/java/org/jasminehub/core/experts/placement/PlacementPlanner.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/PlacementPlanner.java
@@ -4,22 +4,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Relieves the most loaded rank of each layer by replicas and exchanges, within what one change may copy.
+ * Plans changes that relieve the most loaded rank of each layer within the limits of one change, by replicating, moving
+ * and exchanging experts.
  *
- * <p>Load pattern: a few experts get much of the work, and which ones changes every few seconds. All ranks wait for the
- * most loaded one in every layer, so a few copies on the right ranks shorten every pass. Copies on different ranks run
- * at the same time; therefore the bound is for each rank, and several small changes follow each other faster than one
+ * <p>A few experts receive much of the work, and the set of these experts changes every few seconds. In every layer,
+ * all ranks wait for the most loaded one, so a few copies on the right ranks shorten every pass. Different ranks copy
+ * in parallel, so the number of copies is limited per rank. Several small changes in sequence are faster than one
  * complete change.
  *
  * <pre>{@code
- * PlacementPlan plan = PlacementPlanner.plan(map, expertLoad, rankPace, limits);
+ * PlacementPlan plan = PlacementPlanner.plan(map, expertLoad, rankSlowdown, limits);
  * }</pre>
  */
 public final class PlacementPlanner {
-    /** Below this a layer is as good as balanced: the counts that it is judged by are no more exact. */
+    /**
+     * A layer with a lower skew counts as balanced; the measured counts are not accurate enough to distinguish smaller
+     * values.
+     */
     private static final double BALANCED_SKEW = 1.04;
 
-    /** A gain below this is rounding. */
+    /** Smaller gains are treated as rounding errors. */
     private static final double MIN_GAIN = 1e-9;
 
     private final PlacementLimits limits;
@@ -28,53 +32,58 @@
     private final int[] copies;
     private final int[][] newInLayer;
 
-    private PlacementPlanner(ReplicaMap map, double[][] expertLoad, double[] rankPace, PlacementLimits limits) {
+    private PlacementPlanner(ReplicaMap map, double[][] expertLoad, double[] rankSlowdown, PlacementLimits limits) {
         this.map = map;
         this.limits = limits;
         this.copies = new int[map.ranks()];
         this.newInLayer = new int[map.layers()][map.ranks()];
         this.layers = new LayerLoad[map.layers()];
         for (int layer = 0; layer < layers.length; layer++) {
-            layers[layer] = new LayerLoad(map, layer, expertLoad[layer], rankPace);
+            layers[layer] = new LayerLoad(map, layer, expertLoad[layer], rankSlowdown);
         }
     }
 
     /**
-     * Returns the change of {@code map} that pays under {@code expertLoad}, possibly none.
+     * Returns the plan for {@code map} under {@code expertLoad}; its map is {@code map} itself if no change is
+     * worthwhile.
      *
      * @param expertLoad {@code [layer][expert]}: how often each expert is chosen, in any unit
-     * @param rankPace how many times as long each rank's work takes, 1 for a rank that is not slow
+     * @param rankSlowdown the factor by which the work of each rank takes longer than normal; 1 is normal
      */
-    public static PlacementPlan plan(ReplicaMap map, double[][] expertLoad, double[] rankPace, PlacementLimits limits) {
-        PlacementPlanner planner = new PlacementPlanner(map, expertLoad, rankPace, limits);
-        double before = map.skew(expertLoad, rankPace);
+    public static PlacementPlan plan(
+            ReplicaMap map, double[][] expertLoad, double[] rankSlowdown, PlacementLimits limits) {
+        PlacementPlanner planner = new PlacementPlanner(map, expertLoad, rankSlowdown, limits);
+        double before = map.skew(expertLoad, rankSlowdown);
         boolean[] isDone = new boolean[map.layers()];
-        int layer = planner.worst(isDone);
+        int layer = planner.mostSkewed(isDone);
         while (layer >= 0) {
             if (!planner.improve(layer)) {
                 isDone[layer] = true;
             }
-            layer = planner.worst(isDone);
+            layer = planner.mostSkewed(isDone);
         }
-        ReplicaMap planned = planner.result();
+        ReplicaMap planned = planner.toMap();
         int copied = Arrays.stream(planner.copies).sum();
-        double after = planned.skew(expertLoad, rankPace);
-        boolean isWorth = copied > 0 ? before - after >= limits.minGainPerCopy() * copied : before - after > 0;
-        return isWorth ? new PlacementPlan(planned, copied, before, after) : new PlacementPlan(map, 0, before, before);
+        double after = planned.skew(expertLoad, rankSlowdown);
+        boolean isWorthwhile = copied > 0 ? before - after >= limits.minGainPerCopy() * copied : before - after > 0;
+        return isWorthwhile
+                ? new PlacementPlan(planned, copied, before, after)
+                : new PlacementPlan(map, 0, before, before);
     }
 
-    private int worst(boolean[] isDone) {
-        int worst = -1;
+    /** Returns the layer with the highest skew that is neither done nor balanced, or -1 if there is none. */
+    private int mostSkewed(boolean[] isDone) {
+        int mostSkewed = -1;
         for (int layer = 0; layer < layers.length; layer++) {
-            boolean isOpen = !isDone[layer] && layers[layer].skew() > BALANCED_SKEW;
-            if (isOpen && (worst < 0 || layers[layer].skew() > layers[worst].skew())) {
-                worst = layer;
+            boolean isCandidate = !isDone[layer] && layers[layer].skew() > BALANCED_SKEW;
+            if (isCandidate && (mostSkewed < 0 || layers[layer].skew() > layers[mostSkewed].skew())) {
+                mostSkewed = layer;
             }
         }
-        return worst;
+        return mostSkewed;
     }
 
-    /** Applies the best change of a layer and returns whether there was one that pays for its copies. */
+    /** Applies the best change of a layer; returns false if no change gains enough for its copies. */
     private boolean improve(int layer) {
         PlacementMove best = bestMove(layer);
         if (best == null || best.gain() / layers.length < limits.minGainPerCopy() * best.copies()) {
@@ -82,15 +91,15 @@
         }
         best.apply(layers[layer]);
         if (best.target() != LayerLoad.NONE) {
-            note(layer, best.target(), best.expert());
+            countCopy(layer, best.target(), best.expert());
         }
         if (best.returned() != LayerLoad.NONE) {
-            note(layer, best.source(), best.returned());
+            countCopy(layer, best.source(), best.returned());
         }
         return true;
     }
 
-    private void note(int layer, int rank, int expert) {
+    private void countCopy(int layer, int rank, int expert) {
         if (Arrays.binarySearch(map.held(layer, rank), expert) < 0) {
             copies[rank]++;
             newInLayer[layer][rank]++;
@@ -100,74 +109,75 @@
     private @Nullable PlacementMove bestMove(int layer) {
         LayerLoad load = layers[layer];
         double before = load.smoothSkew();
-        int hot = load.hottest();
+        int source = load.mostLoadedRank();
         PlacementMove best = null;
         for (int expert = 0; expert < load.experts(); expert++) {
-            if (!load.holds(hot, expert) || load.load(expert) <= 0) {
+            if (!load.holds(source, expert) || load.load(expert) <= 0) {
                 continue;
             }
             if (load.replicas(expert) > 1) {
-                best = better(best, tried(load, before, PlacementMove.drop(hot, expert)));
+                best = better(best, measure(load, before, PlacementMove.drop(source, expert)));
             }
             for (int target = 0; target < map.ranks(); target++) {
-                if (target != hot && !load.holds(target, expert) && mayCopy(layer, target, expert)) {
-                    best = bestInto(layer, hot, expert, target, before, best);
+                if (target != source && !load.holds(target, expert) && mayCopy(layer, target, expert)) {
+                    best = bestMoveTo(layer, source, expert, target, before, best);
                 }
             }
         }
         return best;
     }
 
-    private @Nullable PlacementMove bestInto(
-            int layer, int hot, int expert, int target, double before, @Nullable PlacementMove known) {
+    private @Nullable PlacementMove bestMoveTo(
+            int layer, int source, int expert, int target, double before, @Nullable PlacementMove bestSoFar) {
         LayerLoad load = layers[layer];
-        PlacementMove best = known;
-        if (load.heldBy(target) < limits.placesPerRank()) {
-            best = better(best, tried(load, before, PlacementMove.replicate(hot, expert, target, LayerLoad.NONE)));
-            best = better(best, tried(load, before, PlacementMove.move(hot, expert, target)));
+        PlacementMove best = bestSoFar;
+        if (load.heldCount(target) < limits.placesPerRank()) {
+            best = better(best, measure(load, before, PlacementMove.replicate(source, expert, target, LayerLoad.NONE)));
+            best = better(best, measure(load, before, PlacementMove.move(source, expert, target)));
         }
         for (int displaced = 0; displaced < load.experts(); displaced++) {
             if (!load.holds(target, displaced) || displaced == expert) {
                 continue;
             }
-            if (load.replicas(displaced) > 1 && load.heldBy(target) >= limits.placesPerRank()) {
-                best = better(best, tried(load, before, PlacementMove.replicate(hot, expert, target, displaced)));
+            if (load.replicas(displaced) > 1 && load.heldCount(target) >= limits.placesPerRank()) {
+                best = better(best, measure(load, before, PlacementMove.replicate(source, expert, target, displaced)));
             } else if (load.replicas(displaced) == 1
                     && load.replicas(expert) == 1
                     && load.load(displaced) < load.load(expert)
-                    && !load.holds(hot, displaced)
-                    && mayCopy(layer, hot, displaced)) {
-                best = better(best, tried(load, before, PlacementMove.exchange(hot, expert, target, displaced)));
+                    && !load.holds(source, displaced)
+                    && mayCopy(layer, source, displaced)) {
+                best = better(best, measure(load, before, PlacementMove.exchange(source, expert, target, displaced)));
             }
         }
         return best;
     }
 
-    private static PlacementMove tried(LayerLoad load, double before, PlacementMove move) {
+    /** Returns the move with its gain, which is measured by applying and undoing it. */
+    private static PlacementMove measure(LayerLoad load, double before, PlacementMove move) {
         move.apply(load);
         double gain = before - load.smoothSkew();
         move.undo(load);
         return move.withGain(gain);
     }
 
-    private static @Nullable PlacementMove better(@Nullable PlacementMove known, PlacementMove other) {
+    private static @Nullable PlacementMove better(@Nullable PlacementMove bestSoFar, PlacementMove other) {
         if (other.gain() <= MIN_GAIN) {
-            return known;
+            return bestSoFar;
         }
-        return known == null || other.gainPerCopy() > known.gainPerCopy() ? other : known;
+        return bestSoFar == null || other.gainPerCopy() > bestSoFar.gainPerCopy() ? other : bestSoFar;
     }
 
-    /** An expert that the rank has at present costs no copy. */
+    /** Returns whether the rank may receive the expert; an expert that it holds on the current map needs no copy. */
     private boolean mayCopy(int layer, int rank, int expert) {
         return Arrays.binarySearch(map.held(layer, rank), expert) >= 0
                 || (copies[rank] < limits.copiesPerRank() && newInLayer[layer][rank] < limits.newPerLayer());
     }
 
-    private ReplicaMap result() {
+    private ReplicaMap toMap() {
         int[][][] holdings = new int[layers.length][map.ranks()][];
         for (int layer = 0; layer < layers.length; layer++) {
             for (int rank = 0; rank < map.ranks(); rank++) {
-                holdings[layer][rank] = layers[layer].toArray(rank);
+                holdings[layer][rank] = layers[layer].heldExperts(rank);
             }
         }
         return new ReplicaMap(map.experts(), holdings);
--- a/core/src/main/java/org/jasminehub/core/experts/placement/RankOrder.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/RankOrder.java
@@ -1,25 +1,25 @@
 package org.jasminehub.core.experts.placement;
 
 /**
- * One order to one rank.
+ * An order to one rank.
  *
- * @param rank the rank
- * @param kind what to do
- * @param version the map concerned, 0 where none is
- * @param step the step concerned, 0 where none is
+ * @param rank the number of the rank
+ * @param kind the operation to carry out
+ * @param version the map version that the order refers to, 0 if none
+ * @param step the step that the order refers to, 0 if none
  */
 public record RankOrder(int rank, Kind kind, long version, long step) {
-    /** What a rank is told. */
+    /** The operation that a rank is ordered to carry out. */
     public enum Kind {
-        /** Copy the experts that the new map needs. */
+        /** Copy the experts that the new map requires. */
         PREPARE,
-        /** Take the prepared map as a step begins. */
+        /** Switch to the prepared map when the step begins. */
         ARM,
-        /** Forget an armed map. */
+        /** Cancel an armed map. */
         DISARM,
-        /** Do not begin a step before it is released. */
+        /** Do not begin the step before it is released. */
         HOLD,
-        /** Begin the step that is held. */
+        /** Release the held step. */
         RELEASE
     }
 }
--- a/core/src/main/java/org/jasminehub/core/experts/placement/RankView.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/RankView.java
@@ -1,17 +1,17 @@
 package org.jasminehub.core.experts.placement;
 
 /**
- * What one rank of a group last said of its maps; 0 stands for none in every version and step.
+ * The last reported state of one rank; in all versions and steps, 0 means none.
  *
- * @param rank its number
- * @param epoch the group's epoch as the rank knows it
- * @param isOpen whether the group takes work
- * @param step the last step that was begun
- * @param mapVersion the map in use
- * @param preparedVersion the map whose copy is complete
- * @param armedVersion the map that takes force as {@code armedStep} begins
- * @param armedStep that step
- * @param heldStep the step that does not begin before it is released
+ * @param rank the number of the rank
+ * @param epoch the epoch of the group as known to the rank
+ * @param isOpen whether the group accepts requests
+ * @param step the last step that the rank has begun
+ * @param mapVersion the version of the map in use
+ * @param preparedVersion the version of the map whose experts have all been copied
+ * @param armedVersion the version of the map to switch to when {@code armedStep} begins
+ * @param armedStep the step at which the rank switches to the armed map
+ * @param heldStep the step that must not begin before it is released
  */
 public record RankView(
         int rank,
@@ -23,7 +23,7 @@
         long armedVersion,
         long armedStep,
         long heldStep) {
-    /** Returns the same view with {@code step} held. */
+    /** Returns a copy of this view in which {@code step} is held. */
     public RankView withHeldStep(long step) {
         return new RankView(rank, epoch, isOpen, this.step, mapVersion, preparedVersion, armedVersion, armedStep, step);
     }
--- a/core/src/main/java/org/jasminehub/core/experts/placement/ReplicaMap.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/ReplicaMap.java
@@ -6,8 +6,8 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Which experts each rank of a group holds, layer by layer; an expert may stand on several ranks, which share its
- * tokens evenly. Immutable.
+ * The experts that each rank of a group holds in each layer. An expert may be replicated on several ranks, which share
+ * its tokens evenly. Immutable.
  *
  * <pre>{@code
  * ReplicaMap map = new ReplicaMap(96, new int[][][] {{{0, 2}, {1, 0}}}); // [layer][rank] -> experts
@@ -17,7 +17,7 @@
     private final int experts;
     private final int[][][] holdings;
 
-    /** Creates a map; each expert must stand on at least one rank of every layer, and on a rank at most once. */
+    /** Creates a map; in every layer, each expert must be on at least one rank and at most once on the same rank. */
     public ReplicaMap(int experts, int[][][] holdings) {
         this.experts = (int) Checks.positive("experts", experts);
         this.holdings = copy(holdings);
@@ -48,7 +48,7 @@
         return holdings.length == 0 ? 0 : holdings[0].length;
     }
 
-    /** Returns the number of experts in a layer. */
+    /** Returns the number of distinct experts per layer. */
     public int experts() {
         return experts;
     }
@@ -58,8 +58,8 @@
         return holdings[layer][rank].clone();
     }
 
-    /** Returns how many experts of {@code next} are new to {@code rank}, over all layers. */
-    public int newExperts(ReplicaMap next, int rank) {
+    /** Returns the number of experts that {@code rank} must copy to change to {@code next}, over all layers. */
+    public int newExpertCount(ReplicaMap next, int rank) {
         int count = 0;
         for (int layer = 0; layer < holdings.length; layer++) {
             for (int expert : next.holdings[layer][rank]) {
@@ -70,16 +70,16 @@
     }
 
     /**
-     * Returns the time of the slowest rank over the mean time of ranks that are not slow, averaged over layers; 1 is
+     * Returns the ratio of the slowest rank's time to the mean time at normal speed, averaged over all layers; 1 means
      * balanced.
      *
      * @param expertLoad {@code [layer][expert]}: how often each expert is chosen
-     * @param rankPace how many times as long each rank's work takes, 1 for a rank that is not slow
+     * @param rankSlowdown the factor by which the work of each rank takes longer than normal; 1 is normal
      */
-    public double skew(double[][] expertLoad, double[] rankPace) {
+    public double skew(double[][] expertLoad, double[] rankSlowdown) {
         double sum = 0;
         for (int layer = 0; layer < holdings.length; layer++) {
-            sum += new LayerLoad(this, layer, expertLoad[layer], rankPace).skew();
+            sum += new LayerLoad(this, layer, expertLoad[layer], rankSlowdown).skew();
         }
         return holdings.length == 0 ? 1 : sum / holdings.length;
     }
--- a/core/src/main/java/org/jasminehub/core/experts/placement/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Expert maps with replicas, and the orders by which all ranks of a group take a new one at the same step. */
+/** Expert maps with replicas, and the orders that make all ranks of a group switch to a new map at the same step. */
 @NullMarked
 package org.jasminehub.core.experts.placement;
 
--- a/core/src/test/java/org/jasminehub/core/experts/MapPlannerTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/MapPlannerTest.java
@@ -49,7 +49,7 @@
         }
 
         @Test
-        void testOneSlotEachGainsOnlyFromRankSpeeds() {
+        void testGroupWithOneSlotPerRankGainsOnlyFromRankSpeeds() {
             ExpertMap map = ExpertMap.striped(64, 1, 64, 2);
             GroupLoad even = load(64, 64, 1, 6);
             assertEquals(0, MapPlanner.plan(map, even, SKEW_FIRST, LIMITS).moves());
@@ -63,7 +63,7 @@
         private final ExpertMap map = ExpertMap.striped(8, 9, 64, 2);
 
         @Test
-        void testTeamThatWeighsMovesMovesLess() {
+        void testHigherMoveWeightReducesMoves() {
             GroupLoad load = load(8, 64, 3, 1.2);
             PlanLimits limits = new PlanLimits(100, 5, 1.2, 1000);
             MapPlan skewFirst = MapPlanner.plan(map, load, SKEW_FIRST, limits);
@@ -94,12 +94,12 @@
         private final MoveBudgetPolicy policy = new MoveBudgetPolicy(1000, 800, 0.5);
 
         @Test
-        void testWhatOneGroupLeavesGoesToOthers() {
+        void testUnusedRateIsSharedAmongOtherGroups() {
             assertArrayEquals(new double[] {100, 450, 450}, policy.fairRates(new double[] {100, 900, 600}), 1e-9);
         }
 
         @Test
-        void testGroupWhoseStepsAreTooLongStillLoads() {
+        void testGroupWithSlowStepsStillLoads() {
             assertTrue(policy.streamSafeRate(55, 30) > 0);
         }
 
--- a/core/src/test/java/org/jasminehub/core/experts/change/ChangeCoordinatorTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/ChangeCoordinatorTest.java
@@ -41,7 +41,7 @@
                 .append(order.get())
                 .append(" -> ")
                 .append(reply.code());
-        state = coordinator.replied(state, rank, reply);
+        state = coordinator.onReply(state, rank, reply);
         session.append(" : ").append(state.phase()).append('\n');
     }
 
@@ -53,7 +53,7 @@
     private void append(boolean answered) {
         MapRecord record = coordinator.record(state).orElseThrow();
         session.append("log ").append(record);
-        state = answered ? coordinator.recorded(state, record, true) : coordinator.timedOut(state);
+        state = answered ? coordinator.onRecord(state, record, true) : coordinator.onTimeout(state);
         session.append(answered ? "" : " unanswered")
                 .append(" : ")
                 .append(state.phase())
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void testHolderThatSeesHigherNumberGivesNoMoreOrders() {
+    void testHolderThatSeesHigherFencingNumberSendsNoOrders() {
         openChange();
         ranks.set(
                 0, RankMachine.apply(ranks.get(0), new RankOrder.Survey(9), 10).state());
@@ -112,13 +112,13 @@
     }
 
     @Test
-    void testGroupWithMissingRankIsNotRoutableAndReturnsWhenWhole() {
+    void testGroupIsRoutableOnlyWhileAllRanksAreReachable() {
         round();
-        GroupReadiness whole = GroupReadiness.of("text-0", List.of(true, true), state);
+        GroupReadiness ready = GroupReadiness.of("text-0", List.of(true, true), state);
         GroupReadiness missing = GroupReadiness.of("text-0", List.of(true, false), state);
-        assertTrue(whole.isRoutable());
+        assertTrue(ready.isRoutable());
         assertFalse(missing.isRoutable());
-        assertEquals(Optional.of(new GroupReadiness.GroupIncomplete("text-0", List.of(1))), missing.changeFrom(whole));
-        assertEquals(Optional.of(new GroupReadiness.GroupWhole("text-0")), whole.changeFrom(missing));
+        assertEquals(Optional.of(new GroupReadiness.GroupIncomplete("text-0", List.of(1))), missing.changeFrom(ready));
+        assertEquals(Optional.of(new GroupReadiness.GroupWhole("text-0")), ready.changeFrom(missing));
     }
 }
--- a/core/src/test/java/org/jasminehub/core/experts/change/Exploration.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/Exploration.java
@@ -16,13 +16,16 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Visits every state that a modelled group can reach, breadth first and up to the order of equal ranks. */
+/**
+ * Visits all reachable states of a modelled group, breadth first. States that differ only in the numbering of ranks
+ * count as one.
+ */
 final class Exploration {
     private final GroupModel model;
     private final int maxStates;
     private final List<List<Integer>> orders;
     private final Map<Object, Integer> numbers = new HashMap<>();
-    private final Map<Lane, Integer> laneNumbers = new IdentityHashMap<>();
+    private final Map<RankNode, Integer> nodeNumbers = new IdentityHashMap<>();
     private final Set<Key> visited = new HashSet<>();
 
     Exploration(GroupModel model, int ranks, int maxStates) {
@@ -32,16 +35,16 @@
         this.maxStates = maxStates;
     }
 
-    /** Visits states until all are visited or one is mixed; returns that one. */
-    Optional<World> run(World initial, Consumer<World> visitor) {
-        ArrayDeque<World> frontier = new ArrayDeque<>();
+    /** Visits states until all are visited, or until ranks run a step on different maps; returns that state. */
+    Optional<GroupState> run(GroupState initial, Consumer<GroupState> visitor) {
+        ArrayDeque<GroupState> frontier = new ArrayDeque<>();
         visited.add(key(initial));
         frontier.add(initial);
         while (!frontier.isEmpty() && visited.size() <= maxStates) {
-            World world = frontier.remove();
-            visitor.accept(world);
-            for (World next : model.successors(world)) {
-                if (next.isMixed()) {
+            GroupState group = frontier.remove();
+            visitor.accept(group);
+            for (GroupState next : model.successors(group)) {
+                if (next.hasMixedMaps()) {
                     return Optional.of(next);
                 }
                 if (visited.add(key(next))) {
@@ -60,13 +63,16 @@
         return visited.size() <= maxStates;
     }
 
-    /** Returns the least of the keys that the state has under the orders in which its ranks' numbers don't fall. */
-    private Key key(World world) {
-        int[] laneNumbers = world.lanes().stream().mapToInt(this::numberOfLane).toArray();
+    /**
+     * Returns the smallest key of the state over all orders of its ranks that sort their node numbers in ascending
+     * order.
+     */
+    private Key key(GroupState group) {
+        int[] nodeNumbers = group.nodes().stream().mapToInt(this::numberOfNode).toArray();
         Key least = null;
         for (List<Integer> order : orders) {
-            if (isSorted(laneNumbers, order)) {
-                Key key = key(world, laneNumbers, order);
+            if (isSorted(nodeNumbers, order)) {
+                Key key = key(group, nodeNumbers, order);
                 least = least == null || Arrays.compare(key.parts, least.parts) < 0 ? key : least;
             }
         }
@@ -82,14 +88,14 @@
         return true;
     }
 
-    private Key key(World world, int[] laneNumbers, List<Integer> order) {
+    private Key key(GroupState group, int[] nodeNumbers, List<Integer> order) {
         IntStream.Builder key = IntStream.builder();
-        key.add((world.step() * 10 + world.restartsLeft()) * 10 + world.changesLeft());
-        order.forEach(rank -> key.add(laneNumbers[rank]));
-        world.holders().forEach(holder -> key.add(number(permuted(holder, order))));
-        key.add(number(permuted(world.log(), order)));
-        key.add(number(permuted(world.appends(), order)));
-        key.add(number(permuted(world.seen(), order)));
+        key.add((group.step() * 10 + group.restartsLeft()) * 10 + group.changesLeft());
+        order.forEach(rank -> key.add(nodeNumbers[rank]));
+        group.holders().forEach(holder -> key.add(number(permuted(holder, order))));
+        key.add(number(permuted(group.log(), order)));
+        key.add(number(permuted(group.appends(), order)));
+        key.add(number(permuted(group.unread(), order)));
         return new Key(key.build().toArray());
     }
 
@@ -120,15 +126,15 @@
         return new MapRecord(record.kind(), record.fencingNumber(), record.mapVersion(), incarnations);
     }
 
-    private int numberOfLane(Lane lane) {
-        return laneNumbers.computeIfAbsent(lane, absent -> laneNumbers.size());
+    private int numberOfNode(RankNode node) {
+        return nodeNumbers.computeIfAbsent(node, absent -> nodeNumbers.size());
     }
 
     private int number(Object part) {
         return numbers.computeIfAbsent(part, absent -> numbers.size());
     }
 
-    /** Numbers of a state's parts; equal exactly for equal states. */
+    /** The numbers of the parts of a state. Two keys are equal exactly if the states are equal. */
     private static final class Key {
         private final int[] parts;
 
--- a/core/src/test/java/org/jasminehub/core/experts/change/GroupModel.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/GroupModel.java
@@ -12,13 +12,13 @@
 import java.util.stream.IntStream;
 import org.jspecify.annotations.Nullable;
 
-/** Lists everything that may happen next in a modelled group, with loss, repeat and reorder of every message. */
+/** Computes all possible successors of a state of a modelled group. Messages may be lost, repeated and reordered. */
 final class GroupModel {
     private static final long FIRST_MAP = 1;
     private static final long SWITCH_STEP = 2;
     private static final MapRecord NO_RECORD = new MapRecord(MapRecord.Kind.ROSTER, 0, 0, List.of());
 
-    private final Interner<Lane> interned = Interners.newStrongInterner();
+    private final Interner<RankNode> interned = Interners.newStrongInterner();
     private final Rules rules;
     private final int lastStep;
     private final int maxHolders;
@@ -30,56 +30,56 @@
         this.maxHolders = maxHolders;
     }
 
-    World initial(int ranks, int restarts, int firstStep) {
+    GroupState initial(int ranks, int restarts, int firstStep) {
         MapRecord log = new MapRecord(
                 MapRecord.Kind.ROSTER,
                 0,
                 FIRST_MAP,
                 IntStream.range(0, ranks).mapToObj(i -> 1L).toList());
-        List<Lane> lanes = IntStream.range(0, ranks)
-                .mapToObj(i -> Lane.started(1))
-                .map(lane -> lane.withRank(lane.rank().withMap(RankMode.RUNNING, FIRST_MAP, FIRST_MAP, 0), false))
+        List<RankNode> nodes = IntStream.range(0, ranks)
+                .mapToObj(i -> RankNode.started(1))
+                .map(node -> node.withRank(node.rank().withMap(RankMode.RUNNING, FIRST_MAP, FIRST_MAP, 0), false))
                 .toList();
-        return takeOver(new World(firstStep, lanes, List.of(), log, Set.of(), Set.of(), restarts, 1));
+        return takeOver(new GroupState(firstStep, nodes, List.of(), log, Set.of(), Set.of(), restarts, 1));
     }
 
-    List<World> successors(World world) {
-        List<World> next = new ArrayList<>();
-        for (int lane = 0; lane < world.lanes().size(); lane++) {
-            addLane(world, lane, next);
+    List<GroupState> successors(GroupState group) {
+        List<GroupState> next = new ArrayList<>();
+        for (int node = 0; node < group.nodes().size(); node++) {
+            addNode(group, node, next);
         }
-        for (int holder = 0; holder < world.holders().size(); holder++) {
-            addHolder(world, holder, next);
+        for (int holder = 0; holder < group.holders().size(); holder++) {
+            addHolder(group, holder, next);
         }
-        for (MapRecord record : world.appends()) {
-            next.add(append(world, record));
+        for (MapRecord record : group.appends()) {
+            next.add(append(group, record));
         }
-        if (world.holders().size() < maxHolders) {
-            next.add(takeOver(world));
+        if (group.holders().size() < maxHolders) {
+            next.add(takeOver(group));
         }
         return next;
     }
 
-    private void addLane(World world, int index, List<World> next) {
-        Lane lane = world.lanes().get(index);
-        begin(world, index).ifPresent(next::add);
-        lane.orders().forEach(order -> next.add(deliver(world, index, order)));
-        lane.replies().forEach(reply -> next.add(report(world, index, reply)));
-        if (world.restartsLeft() > 0) {
-            next.add(restart(world, index));
+    private void addNode(GroupState group, int index, List<GroupState> next) {
+        RankNode node = group.nodes().get(index);
+        begin(group, index).ifPresent(next::add);
+        node.orders().forEach(order -> next.add(deliver(group, index, order)));
+        node.replies().forEach(reply -> next.add(report(group, index, reply)));
+        if (group.restartsLeft() > 0) {
+            next.add(restart(group, index));
         }
     }
 
-    private void addHolder(World world, int index, List<World> next) {
-        ChangeState holder = world.holders().get(index);
-        next.add(update(world, index, coordinator.timedOut(holder)));
-        if (holder.phase() == ChangePhase.IDLE && world.changesLeft() > 0) {
-            World begun = world.withBudget(world.restartsLeft(), world.changesLeft() - 1);
+    private void addHolder(GroupState group, int index, List<GroupState> next) {
+        ChangeState holder = group.holders().get(index);
+        next.add(update(group, index, coordinator.onTimeout(holder)));
+        if (holder.phase() == ChangePhase.IDLE && group.changesLeft() > 0) {
+            GroupState begun = group.withBudget(group.restartsLeft(), group.changesLeft() - 1);
             next.add(update(begun, index, coordinator.begin(holder, nextVersion(holder))));
         }
-        for (MapRecord record : world.seen()) {
+        for (MapRecord record : group.unread()) {
             if (record.fencingNumber() == holder.fencingNumber()) {
-                next.add(seen(world, record));
+                next.add(readRecord(group, record));
             }
         }
     }
@@ -88,100 +88,107 @@
         return holder.fencingNumber() * 10 + holder.mapVersion() % 10 + 1;
     }
 
-    /** Lets a lane begin the group's step; the step is complete once all have begun it. */
-    Optional<World> begin(World world, int index) {
-        return world.step() > lastStep ? Optional.empty() : beginUnbounded(world, index);
+    /** Makes a rank begin the group's current step; the step is complete once all ranks have begun it. */
+    Optional<GroupState> begin(GroupState group, int index) {
+        return group.step() > lastStep ? Optional.empty() : beginUnbounded(group, index);
     }
 
-    private Optional<World> beginUnbounded(World world, int index) {
-        Lane lane = world.lanes().get(index);
-        if (lane.begun()) {
+    private Optional<GroupState> beginUnbounded(GroupState group, int index) {
+        RankNode node = group.nodes().get(index);
+        if (node.begun()) {
             return Optional.empty();
         }
-        return rules.begin().begin(lane.rank(), world.step()).map(rank -> {
-            World begun = world.withLane(index, old -> old.withRank(rank, true));
-            boolean complete = begun.lanes().stream().allMatch(Lane::begun) && !begun.isMixed();
-            return complete ? completed(begun) : pruneLane(begun, index);
+        return rules.begin().begin(node.rank(), group.step()).map(rank -> {
+            GroupState begun = group.withNode(index, old -> old.withRank(rank, true));
+            boolean complete = begun.nodes().stream().allMatch(RankNode::begun) && !begun.hasMixedMaps();
+            return complete ? completed(begun) : pruneNode(begun, index);
         });
     }
 
-    private World completed(World world) {
-        List<Lane> lanes = world.lanes().stream()
-                .map(lane -> lane.withRank(lane.rank(), false))
+    private GroupState completed(GroupState group) {
+        List<RankNode> nodes = group.nodes().stream()
+                .map(node -> node.withRank(node.rank(), false))
                 .toList();
-        return prune(world.withStep(world.step() + 1, lanes));
+        return prune(group.withStep(group.step() + 1, nodes));
     }
 
-    World deliver(World world, int index, RankOrder order) {
-        Lane lane = world.lanes().get(index);
-        RankReply reply = rules.apply().apply(lane.rank(), order, presentStep(world, lane));
-        return prune(world.withLane(
+    GroupState deliver(GroupState group, int index, RankOrder order) {
+        RankNode node = group.nodes().get(index);
+        RankReply reply = rules.apply().apply(node.rank(), order, presentStep(group, node));
+        return prune(group.withNode(
                 index, old -> old.withRank(reply.state(), old.begun()).withReply(reply)));
     }
 
-    /** A step that has not begun can still be stopped. */
-    private static long presentStep(World world, Lane lane) {
-        return lane.begun() ? world.step() : world.step() - 1;
+    /** Returns the last step that the rank has begun; a step that has not begun can still be stopped. */
+    private static long presentStep(GroupState group, RankNode node) {
+        return node.begun() ? group.step() : group.step() - 1;
     }
 
-    World report(World world, int index, RankReply reply) {
+    GroupState report(GroupState group, int index, RankReply reply) {
         int holder = (int) reply.fencingNumber() - 1;
-        ChangeState state = world.holders().get(holder);
+        ChangeState state = group.holders().get(holder);
         return update(
-                world, holder, coordinator.replied(state, index, rules.report().read(reply)));
+                group, holder, coordinator.onReply(state, index, rules.report().read(reply)));
     }
 
-    World restart(World world, int index) {
-        long incarnation = world.lanes().get(index).rank().incarnation() + 1;
-        World spent = world.withBudget(world.restartsLeft() - 1, world.changesLeft());
-        return prune(spent.withLane(index, old -> Lane.started(incarnation).withMessages(old.orders(), old.replies())));
+    GroupState restart(GroupState group, int index) {
+        long incarnation = group.nodes().get(index).rank().incarnation() + 1;
+        GroupState restarted = group.withBudget(group.restartsLeft() - 1, group.changesLeft());
+        return prune(restarted.withNode(
+                index, old -> RankNode.started(incarnation).withMessages(old.orders(), old.replies())));
     }
 
-    /** A holder that still gives orders surveys the new incarnation; orders to the old one do no more than that. */
-    private static Set<RankOrder> surveys(World world) {
-        return world.holders().stream()
+    /**
+     * Returns the surveys of all holders that have not been fenced; for a new incarnation, orders to the old one have
+     * no other effect than a survey.
+     */
+    private static Set<RankOrder> surveys(GroupState group) {
+        return group.holders().stream()
                 .filter(holder -> holder.phase() != ChangePhase.FENCED)
                 .map(holder -> new RankOrder.Survey(holder.fencingNumber()))
                 .collect(Collectors.toSet());
     }
 
-    World append(World world, MapRecord record) {
-        boolean valid = !rules.voidsStaleRecords()
-                || record.fencingNumber() == world.holders().size();
-        Set<MapRecord> appends = new HashSet<>(world.appends());
+    GroupState append(GroupState group, MapRecord record) {
+        boolean valid = !rules.ignoresStaleRecords()
+                || record.fencingNumber() == group.holders().size();
+        Set<MapRecord> appends = new HashSet<>(group.appends());
         appends.remove(record);
-        return world.withLog(
-                valid ? record : world.log(), appends, valid ? Lane.plus(world.seen(), record) : world.seen());
+        return group.withLog(
+                valid ? record : group.log(), appends, valid ? RankNode.plus(group.unread(), record) : group.unread());
     }
 
-    World seen(World world, MapRecord record) {
+    GroupState readRecord(GroupState group, MapRecord record) {
         int holder = (int) record.fencingNumber() - 1;
-        Set<MapRecord> left = new HashSet<>(world.seen());
-        left.remove(record);
-        World read = world.withLog(world.log(), world.appends(), left);
-        return update(read, holder, coordinator.recorded(read.holders().get(holder), record, true));
+        Set<MapRecord> unread = new HashSet<>(group.unread());
+        unread.remove(record);
+        GroupState read = group.withLog(group.log(), group.appends(), unread);
+        return update(read, holder, coordinator.onRecord(read.holders().get(holder), record, true));
     }
 
-    World takeOver(World world) {
-        int number = world.holders().size() + 1;
+    GroupState takeOver(GroupState group) {
+        int number = group.holders().size() + 1;
         return update(
-                world, number - 1, coordinator.takeOver(number, world.lanes().size(), world.log()));
+                group, number - 1, coordinator.takeOver(number, group.nodes().size(), group.log()));
     }
 
-    /** Returns the state after one round in which the newest holder reaches every rank and nothing restarts. */
-    World fairRound(World world, boolean logAnswers) {
-        World next = orderRound(world, logAnswers);
-        for (int index = 0; index < world.lanes().size(); index++) {
+    /**
+     * Returns the state after a round in which the newest holder reaches every rank, no rank restarts, and every rank
+     * that may begin the step does so.
+     */
+    GroupState completeRound(GroupState group, boolean logAnswers) {
+        GroupState next = orderRound(group, logAnswers);
+        for (int index = 0; index < group.nodes().size(); index++) {
             next = beginUnbounded(next, index).orElse(next);
         }
         return next;
     }
 
-    /** Returns the state after the newest holder's present orders and record have been answered. */
-    World orderRound(World world, boolean logAnswers) {
-        int holder = world.holders().size() - 1;
-        World next = world;
-        for (int index = 0; index < world.lanes().size(); index++) {
+    /** Returns the state after the newest holder has received replies to its current orders and record. */
+    GroupState orderRound(GroupState group, boolean logAnswers) {
+        int holder = group.holders().size() - 1;
+        GroupState next = group;
+        for (int index = 0; index < group.nodes().size(); index++) {
             Optional<RankOrder> order = coordinator.order(next.holders().get(holder), index);
             if (order.isPresent()) {
                 next = exchange(next, index, order.get());
@@ -189,127 +196,142 @@
         }
         Optional<MapRecord> record = coordinator.record(next.holders().get(holder));
         if (record.isPresent() && logAnswers) {
-            next = seen(append(next, record.get()), record.get());
+            next = readRecord(append(next, record.get()), record.get());
         }
         if (!logAnswers) {
-            next = update(next, holder, coordinator.timedOut(next.holders().get(holder)));
+            next = update(next, holder, coordinator.onTimeout(next.holders().get(holder)));
         }
         return next;
     }
 
-    private World exchange(World world, int index, RankOrder order) {
-        Lane lane = world.lanes().get(index);
-        RankReply reply = rules.apply().apply(lane.rank(), order, presentStep(world, lane));
-        return report(deliver(world, index, order), index, reply);
+    private GroupState exchange(GroupState group, int index, RankOrder order) {
+        RankNode node = group.nodes().get(index);
+        RankReply reply = rules.apply().apply(node.rank(), order, presentStep(group, node));
+        return report(deliver(group, index, order), index, reply);
     }
 
-    /** Puts a holder's new state in force and everything that it sends because of it on the way. */
-    private World update(World world, int index, ChangeState holder) {
-        if (index < world.holders().size() && world.holders().get(index).equals(holder)) {
-            return prune(world);
+    /**
+     * Stores the new state of a holder, and adds the orders and the record that follow from it to the messages in
+     * flight.
+     */
+    private GroupState update(GroupState group, int index, ChangeState holder) {
+        if (index < group.holders().size() && group.holders().get(index).equals(holder)) {
+            return prune(group);
         }
-        World changed = world.withHolder(index, holder.phase() == ChangePhase.FENCED ? silent(holder) : holder);
-        for (int lane = 0; lane < changed.lanes().size(); lane++) {
-            Optional<RankOrder> order = coordinator.order(holder, lane);
+        GroupState changed = group.withHolder(index, holder.phase() == ChangePhase.FENCED ? fenced(holder) : holder);
+        for (int node = 0; node < changed.nodes().size(); node++) {
+            Optional<RankOrder> order = coordinator.order(holder, node);
             if (order.isPresent()) {
-                changed = changed.withLane(lane, old -> old.withOrder(order.get()));
+                changed = changed.withNode(node, old -> old.withOrder(order.get()));
             }
         }
         Optional<MapRecord> record = coordinator.record(holder);
-        if (record.isPresent() && !changed.seen().contains(record.get())) {
-            changed = changed.withLog(changed.log(), Lane.plus(changed.appends(), record.get()), changed.seen());
+        if (record.isPresent() && !changed.unread().contains(record.get())) {
+            changed = changed.withLog(changed.log(), RankNode.plus(changed.appends(), record.get()), changed.unread());
         }
         return prune(changed);
     }
 
-    private static ChangeState silent(ChangeState holder) {
-        List<@Nullable RankState> unheard = Collections.nCopies(holder.ranks().size(), null);
-        return new ChangeState(holder.fencingNumber(), ChangePhase.FENCED, 0, 0, 0, 0, unheard, null);
+    private static ChangeState fenced(ChangeState holder) {
+        List<@Nullable RankState> unreported =
+                Collections.nCopies(holder.ranks().size(), null);
+        return new ChangeState(holder.fencingNumber(), ChangePhase.FENCED, 0, 0, 0, 0, unreported, null);
     }
 
-    private World pruneLane(World world, int index) {
-        Lane pruned = prune(world, index);
-        return world.withLane(index, old -> pruned);
+    private GroupState pruneNode(GroupState group, int index) {
+        RankNode pruned = prune(group, index);
+        return group.withNode(index, old -> pruned);
     }
 
-    /** Drops what can't change anything any more, whenever it arrives. */
-    private World prune(World world) {
-        World forgotten = forget(world);
-        List<Lane> lanes = new ArrayList<>();
-        for (int index = 0; index < world.lanes().size(); index++) {
-            lanes.add(prune(forgotten, index));
+    /** Removes messages and records that have no effect any more, whenever they arrive. */
+    private GroupState prune(GroupState group) {
+        GroupState remaining = dropStaleRecords(group);
+        List<RankNode> nodes = new ArrayList<>();
+        for (int index = 0; index < group.nodes().size(); index++) {
+            nodes.add(prune(remaining, index));
         }
-        return forgotten.withStep(world.step(), List.copyOf(lanes));
+        return remaining.withStep(group.step(), List.copyOf(nodes));
     }
 
-    /** Nobody reads the log again after the second holder did, and void records are of no use to anybody. */
-    private World forget(World world) {
-        if (world.holders().size() < 2) {
-            return world;
+    /**
+     * Removes the log and void records once the second holder has taken over, because no later holder reads the log.
+     */
+    private GroupState dropStaleRecords(GroupState group) {
+        if (group.holders().size() < 2) {
+            return group;
         }
-        boolean firstFenced = world.holders().get(0).phase() == ChangePhase.FENCED;
-        Set<MapRecord> appends = world.appends().stream()
-                .filter(record -> record.fencingNumber() > 1 || !rules.voidsStaleRecords() && !firstFenced)
+        boolean firstFenced = group.holders().get(0).phase() == ChangePhase.FENCED;
+        Set<MapRecord> appends = group.appends().stream()
+                .filter(record -> record.fencingNumber() > 1 || !rules.ignoresStaleRecords() && !firstFenced)
                 .collect(Collectors.toSet());
-        Set<MapRecord> seen = world.seen().stream()
+        Set<MapRecord> unread = group.unread().stream()
                 .filter(record -> record.fencingNumber() > 1 || !firstFenced)
                 .collect(Collectors.toSet());
-        return world.withLog(NO_RECORD, appends, seen);
+        return group.withLog(NO_RECORD, appends, unread);
     }
 
-    private Lane prune(World world, int index) {
-        Lane lane = world.lanes().get(index);
+    private RankNode prune(GroupState group, int index) {
+        RankNode node = group.nodes().get(index);
         Set<RankOrder> orders = new HashSet<>();
-        for (RankOrder order : lane.orders()) {
-            if (!isDead(world, lane, order)) {
+        for (RankOrder order : node.orders()) {
+            if (!hasNoEffect(group, node, order)) {
                 orders.add(order);
             }
         }
         Set<RankReply> replies = new HashSet<>();
-        addAlive(world, index, currentReply(lane.rank()), replies);
-        lane.replies().forEach(reply -> addAlive(world, index, reply, replies));
-        return interned.intern(lane.withMessages(orders, replies));
+        addIfEffective(group, index, currentReply(node.rank()), replies);
+        node.replies().forEach(reply -> addIfEffective(group, index, reply, replies));
+        return interned.intern(node.withMessages(orders, replies));
     }
 
-    /** The holder may have asked at any time, so each state that a rank passes through is taken as reported. */
+    /**
+     * Returns a reply with the current state of the rank. A holder may survey a rank at any time, so every state that a
+     * rank passes through may be reported.
+     */
     private static RankReply currentReply(RankState rank) {
         return new RankReply(rank.fencingNumber(), OrderCode.ACCEPTED, rank, 0);
     }
 
-    private void addAlive(World world, int index, RankReply reply, Set<RankReply> replies) {
-        if (reply.fencingNumber() > 0 && !isDead(world, index, reduced(world, reply))) {
-            replies.add(reduced(world, reply));
+    private void addIfEffective(GroupState group, int index, RankReply reply, Set<RankReply> replies) {
+        if (reply.fencingNumber() > 0 && !hasNoEffect(group, index, normalized(group, reply))) {
+            replies.add(normalized(group, reply));
         }
     }
 
-    /** A rank that was shown the holder's number gains nothing by an order that changes nothing any more. */
-    private boolean isDead(World world, Lane lane, RankOrder order) {
-        RankReply reply = rules.apply().apply(lane.rank(), order, presentStep(world, lane));
+    /**
+     * Returns whether the order has no effect any more. An order that raises the rank's fencing number always has an
+     * effect.
+     */
+    private boolean hasNoEffect(GroupState group, RankNode node, RankOrder order) {
+        RankReply reply = rules.apply().apply(node.rank(), order, presentStep(group, node));
         if (order instanceof RankOrder.Survey
-                || order.fencingNumber() > lane.rank().fencingNumber()) {
+                || order.fencingNumber() > node.rank().fencingNumber()) {
             return reply.code() == OrderCode.FENCED;
         }
-        boolean spent = order instanceof RankOrder.Go go && lane.rank().mapVersion() >= go.nextVersion()
-                || order instanceof RankOrder.Abort abort && lane.rank().endedVersion() >= abort.nextVersion()
-                || order instanceof RankOrder.Join && lane.rank().isJoined()
+        boolean isSpent = order instanceof RankOrder.Go go && node.rank().mapVersion() >= go.nextVersion()
+                || order instanceof RankOrder.Abort abort && node.rank().endedVersion() >= abort.nextVersion()
+                || order instanceof RankOrder.Join && node.rank().isJoined()
                 || order instanceof RankOrder.Load;
         return switch (reply.code()) {
             case FENCED, ENDED -> true;
-            default -> spent;
+            default -> isSpent;
         };
     }
 
-    /** Only a refusal's code matters, and only before its holder has ended the change. */
-    private RankReply reduced(World world, RankReply reply) {
-        ChangePhase phase = holder(world, reply).phase();
-        boolean refusal = ChangeCoordinator.isRefusal(reply.code());
-        boolean matters = refusal && phase.compareTo(ChangePhase.ARMING) <= 0;
+    /**
+     * Returns the reply without details that do not affect the holder. Its code matters only if it is a refusal, and
+     * only until the holder has ended the change.
+     */
+    private RankReply normalized(GroupState group, RankReply reply) {
+        ChangePhase phase = holder(group, reply).phase();
+        boolean isRefusal = ChangeCoordinator.isRefusal(reply.code());
+        boolean isRelevant = isRefusal && phase.compareTo(ChangePhase.ARMING) <= 0;
         return new RankReply(
-                reply.fencingNumber(), matters ? OrderCode.STEP_PASSED : OrderCode.ACCEPTED, reply.state(), 0);
+                reply.fencingNumber(), isRelevant ? OrderCode.STEP_PASSED : OrderCode.ACCEPTED, reply.state(), 0);
     }
 
-    private boolean isDead(World world, int index, RankReply reply) {
-        ChangeState holder = holder(world, reply);
+    private boolean hasNoEffect(GroupState group, int index, RankReply reply) {
+        ChangeState holder = holder(group, reply);
         if (holder.phase() == ChangePhase.FENCED) {
             return true;
         }
@@ -319,7 +341,7 @@
         return old && reply.code() == OrderCode.ACCEPTED;
     }
 
-    private static ChangeState holder(World world, RankReply reply) {
-        return world.holders().get((int) reply.fencingNumber() - 1);
+    private static ChangeState holder(GroupState group, RankReply reply) {
+        return group.holders().get((int) reply.fencingNumber() - 1);
     }
 }
--- a/core/src/test/java/org/jasminehub/core/experts/change/MapChangeExplorationTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/MapChangeExplorationTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Every order of events with lost, late and repeated messages, lost answers of the log and a second holder. */
+/**
+ * Explores all interleavings of a map change with lost, delayed and repeated messages, unanswered appends to the log
+ * and a second lease holder.
+ */
 final class MapChangeExplorationTest {
     private static final int MAX_STATES = 1_500_000;
     private static final int SWITCH_STEP = 2;
@@ -37,7 +40,7 @@
         private void explore(int ranks, int restarts, int holders) {
             GroupModel model = new GroupModel(Rules.SOUND, SWITCH_STEP, holders);
             Exploration exploration = new Exploration(model, ranks, MAX_STATES);
-            Optional<World> mixed =
+            Optional<GroupState> mixed =
                     exploration.run(model.initial(ranks, restarts, SWITCH_STEP), new ReleaseCheck(model));
             System.out.println(ranks + " ranks, " + restarts + " restarts, " + holders + " holders: "
                     + exploration.stateCount() + " states");
@@ -50,78 +53,78 @@
     final class Faults {
         @Test
         void testArmThatDoesNotHoldIsFound() {
-            assertFound(Rules.armDoesNotHold(), 0);
+            assertFaultFound(Rules.armDoesNotHold(), 0);
         }
 
         @Test
-        void testArmTakenAfterItsSwitchStepIsFound() {
-            assertFound(Rules.lateArmIsTaken(), 0);
+        void testArmAcceptedAfterItsSwitchStepIsFound() {
+            assertFaultFound(Rules.lateArmIsAccepted(), 0);
         }
 
         @Test
         void testRanksThatIgnoreFencingNumbersAreFound() {
-            assertFound(Rules.noFencing(), 0);
+            assertFaultFound(Rules.noFencing(), 0);
         }
 
         @Test
-        void testRecordsUnderOldLeaseThatCountAreFound() {
-            assertFound(Rules.staleRecordsCount(), 1);
+        void testAppliedRecordsOfOldLeasesAreFound() {
+            assertFaultFound(Rules.staleRecordsAreApplied(), 1);
         }
 
         @Test
-        void testRecordsThatNameNoIncarnationAreFound() {
-            GroupModel model = new GroupModel(Rules.incarnationsNotNamed(), SWITCH_STEP, 2);
-            World idle = model.orderRound(model.initial(2, 2, SWITCH_STEP), true);
-            assertFound(model, model.orderRound(model.restart(idle, 0), true));
+        void testRecordsWithoutIncarnationsAreFound() {
+            GroupModel model = new GroupModel(Rules.incarnationsAreOmitted(), SWITCH_STEP, 2);
+            GroupState idle = model.orderRound(model.initial(2, 2, SWITCH_STEP), true);
+            assertFaultFound(model, model.orderRound(model.restart(idle, 0), true));
         }
 
-        private void assertFound(Rules rules, int restarts) {
+        private void assertFaultFound(Rules rules, int restarts) {
             GroupModel model = new GroupModel(rules, SWITCH_STEP, 2);
-            assertFound(model, model.initial(2, restarts, SWITCH_STEP));
+            assertFaultFound(model, model.initial(2, restarts, SWITCH_STEP));
         }
 
-        private void assertFound(GroupModel model, World initial) {
+        private void assertFaultFound(GroupModel model, GroupState initial) {
             Exploration exploration = new Exploration(model, 2, MAX_STATES);
-            Optional<World> mixed = exploration.run(initial, world -> {});
-            assertTrue(mixed.isPresent(), () -> "not found in " + exploration.stateCount() + " states");
+            Optional<GroupState> mixed = exploration.run(initial, group -> {});
+            assertTrue(mixed.isPresent(), () -> "fault not found in " + exploration.stateCount() + " states");
         }
     }
 
     /**
-     * Checks that the newest holder ends whatever is open within a few rounds once it reaches every rank: always if the
-     * log answers, and without the log too unless a rank has restarted.
+     * Checks that the newest holder completes or aborts an open change within a few rounds once it reaches every rank.
+     * It must do so without the log as well, unless a rank has restarted.
      */
-    private record ReleaseCheck(GroupModel model, Set<World> checked) implements Consumer<World> {
+    private record ReleaseCheck(GroupModel model, Set<GroupState> checked) implements Consumer<GroupState> {
         ReleaseCheck(GroupModel model) {
             this(model, new HashSet<>());
         }
 
         @Override
-        public void accept(World world) {
-            World quiet = withoutMessages(world);
-            if (!checked.add(quiet)) {
+        public void accept(GroupState group) {
+            GroupState drained = clearMessages(group);
+            if (!checked.add(drained)) {
                 return;
             }
-            assertTrue(isReleased(quiet, true), () -> "held: " + quiet);
+            assertTrue(isReleased(drained, true), () -> "open change not ended: " + drained);
             boolean allJoined =
-                    world.lanes().stream().allMatch(lane -> lane.rank().isJoined());
-            assertTrue(!allJoined || isReleased(quiet, false), () -> "held without log: " + quiet);
+                    group.nodes().stream().allMatch(node -> node.rank().isJoined());
+            assertTrue(!allJoined || isReleased(drained, false), () -> "open change not ended without log: " + drained);
         }
 
-        private boolean isReleased(World world, boolean logAnswers) {
-            World next = world;
+        private boolean isReleased(GroupState group, boolean logAnswers) {
+            GroupState next = group;
             for (int round = 0; round < RELEASE_ROUNDS; round++) {
-                next = model.fairRound(next, logAnswers);
-                assertTrue(!next.isMixed());
+                next = model.completeRound(next, logAnswers);
+                assertTrue(!next.hasMixedMaps());
             }
-            return next.isWhole();
+            return next.isSettled();
         }
 
-        private static World withoutMessages(World world) {
-            List<Lane> lanes = world.lanes().stream()
-                    .map(lane -> lane.withMessages(Set.of(), Set.of()))
+        private static GroupState clearMessages(GroupState group) {
+            List<RankNode> nodes = group.nodes().stream()
+                    .map(node -> node.withMessages(Set.of(), Set.of()))
                     .toList();
-            return world.withStep(world.step(), lanes).withLog(world.log(), Set.of(), Set.of());
+            return group.withStep(group.step(), nodes).withLog(group.log(), Set.of(), Set.of());
         }
     }
 }
--- a/core/src/test/java/org/jasminehub/core/experts/change/Rules.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/Rules.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * The rules that a modelled group follows; a fault replaces one of them.
+ * The protocol rules of a modelled group. Each fault replaces one of the sound rules.
  *
- * @param begin what a rank does when it comes to a step
- * @param apply how a rank takes an order
- * @param report how a holder reads a reply
- * @param voidsStaleRecords whether a record under an old lease has no effect
+ * @param begin how a rank begins a step
+ * @param apply how a rank applies an order
+ * @param report how a holder interprets a reply
+ * @param ignoresStaleRecords whether records of an old lease have no effect
  */
-record Rules(Begin begin, Apply apply, Report report, boolean voidsStaleRecords) {
+record Rules(Begin begin, Apply apply, Report report, boolean ignoresStaleRecords) {
     static final Rules SOUND = new Rules(RankMachine::begin, RankMachine::apply, reply -> reply, true);
 
     private static final long REVISIONS = 1000;
@@ -21,52 +21,52 @@
         Optional<RankState> begin(RankState rank, long step);
     }
 
-    /** Takes an order. */
+    /** Applies an order. */
     @FunctionalInterface
     interface Apply {
         RankReply apply(RankState rank, RankOrder order, long presentStep);
     }
 
-    /** Reads a reply. */
+    /** Interprets a reply. */
     @FunctionalInterface
     interface Report {
         RankReply read(RankReply reply);
     }
 
-    /** An armed rank isn't stopped at the switch step. */
+    /** An armed rank does not stop at the switch step. */
     static Rules armDoesNotHold() {
         Begin runsOn =
                 (rank, step) -> rank.mode() == RankMode.ARMED ? Optional.of(rank) : RankMachine.begin(rank, step);
         return new Rules(runsOn, SOUND.apply(), SOUND.report(), true);
     }
 
-    /** A rank takes an arm whose switch step has passed, and takes it to hold from the next step on. */
-    static Rules lateArmIsTaken() {
+    /** A rank accepts an arm order whose switch step has passed, and stops only at the next step. */
+    static Rules lateArmIsAccepted() {
         Apply apply = (rank, order, step) -> RankMachine.apply(rank, order, Math.min(step, 0));
         return new Rules(SOUND.begin(), apply, SOUND.report(), true);
     }
 
-    /** Ranks don't compare fencing numbers. */
+    /** Ranks do not check fencing numbers. */
     static Rules noFencing() {
         Apply apply =
                 (rank, order, step) -> RankMachine.apply(rank.withFencingNumber(order.fencingNumber()), order, step);
         return new Rules(SOUND.begin(), apply, SOUND.report(), true);
     }
 
-    /** Neither records nor orders name incarnations; reports keep their order. */
-    static Rules incarnationsNotNamed() {
-        Apply apply = (rank, order, step) -> RankMachine.apply(rank, named(order, rank.incarnation()), step);
-        return new Rules(SOUND.begin(), apply, Rules::nameless, true);
+    /** Records and orders name no incarnations; reports can still be put in order. */
+    static Rules incarnationsAreOmitted() {
+        Apply apply = (rank, order, step) -> RankMachine.apply(rank, withIncarnation(order, rank.incarnation()), step);
+        return new Rules(SOUND.begin(), apply, Rules::withoutIncarnation, true);
     }
 
-    /** Readers of the log take records that were written under an old lease. */
-    static Rules staleRecordsCount() {
+    /** Readers of the log apply records that were written under an old lease. */
+    static Rules staleRecordsAreApplied() {
         return new Rules(SOUND.begin(), SOUND.apply(), SOUND.report(), false);
     }
 
-    private static RankReply nameless(RankReply reply) {
+    private static RankReply withoutIncarnation(RankReply reply) {
         RankState state = reply.state();
-        RankState nameless = new RankState(
+        RankState withoutIncarnation = new RankState(
                 1,
                 state.incarnation() * REVISIONS + state.revision(),
                 state.fencingNumber(),
@@ -76,10 +76,10 @@
                 state.switchStep(),
                 state.loadedVersion(),
                 state.endedVersion());
-        return new RankReply(reply.fencingNumber(), reply.code(), nameless, reply.presentStep());
+        return new RankReply(reply.fencingNumber(), reply.code(), withoutIncarnation, reply.presentStep());
     }
 
-    private static RankOrder named(RankOrder order, long incarnation) {
+    private static RankOrder withIncarnation(RankOrder order, long incarnation) {
         long number = order.fencingNumber();
         if (order instanceof RankOrder.Arm arm) {
             return new RankOrder.Arm(number, incarnation, arm.mapVersion(), arm.nextVersion(), arm.switchStep());
--- a/core/src/test/java/org/jasminehub/core/experts/placement/DemandWindowTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/placement/DemandWindowTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Shifts of demand, replayed from reports of several ranks. */
+/** Tests the detection of demand shifts from the reports of several ranks. */
 final class DemandWindowTest {
     private static final int RANKS = 4;
     private static final long INTERVAL_MILLIS = 100;
@@ -20,7 +20,7 @@
     private final DemandWindow window = new DemandWindow(1, 4, 0);
     private long nowMillis;
 
-    /** Lets every rank report {@code choices} once, spread over one interval. */
+    /** Adds one report with {@code choices} from every rank, spread over one interval. */
     private void report(long[] choices) {
         for (int rank = 0; rank < RANKS; rank++) {
             nowMillis += INTERVAL_MILLIS / RANKS;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void testAWindowIsPlannedFromOnlyWhenItSpansSeveralPasses() {
+    void testWindowSettlesOnlyAfterSeveralPasses() {
         report(FIRST);
 
         assertFalse(window.isSettled());
@@ -56,12 +56,12 @@
     }
 
     @Test
-    void testCountsOfAnotherShapeAreRefused() {
+    void testCountsOfAnotherShapeAreRejected() {
         assertThrows(InvalidArgumentException.class, () -> window.add(0, new long[3]));
     }
 
     @Nested
-    final class AtAShift {
+    final class AfterShift {
         @BeforeEach
         void shift() {
             report(FIRST, 8);
@@ -69,54 +69,54 @@
         }
 
         @Test
-        void testNothingIsPlannedFromAMixture() {
-            // Two ranks' reports of the new demand close no bucket of it yet.
+        void testWindowWithMixedDemandIsNotSettled() {
+            // Reports of the new demand from some of the ranks do not complete a bucket yet.
             window.add(nowMillis + 1, SECOND);
 
-            for (int time = 0; time < 3 && window.shiftedMillis() == Long.MIN_VALUE; time++) {
+            for (int time = 0; time < 3 && window.lastShiftMillis() == Long.MIN_VALUE; time++) {
                 assertFalse(window.isSettled());
                 report(SECOND);
             }
         }
 
         @Test
-        void testAfterThreeReportsATenthOfTheWindowIsOldDemandAtMost() {
+        void testAfterThreeReportsAtMostTenPercentOfWindowIsOldDemand() {
             report(SECOND, 3);
 
             assertTrue(window.isSettled());
-            assertTrue(window.shiftedMillis() > Long.MIN_VALUE);
+            assertTrue(window.lastShiftMillis() > Long.MIN_VALUE);
             assertTrue(share(0) <= 0.1 * 0.7, "share " + share(0));
         }
 
         @Test
-        void testAfterFiveReportsNothingOfTheOldDemandIsLeft() {
+        void testAfterFiveReportsNoOldDemandIsLeft() {
             report(SECOND, 5);
 
             assertEquals(0, share(0));
         }
 
         @Test
-        void testTheNextShiftIsNoticedToo() {
+        void testNextShiftIsDetected() {
             report(SECOND, 6);
-            final long firstMillis = window.shiftedMillis();
+            final long firstMillis = window.lastShiftMillis();
             report(FIRST, 6);
 
-            assertTrue(window.shiftedMillis() > firstMillis);
+            assertTrue(window.lastShiftMillis() > firstMillis);
             assertEquals(0.7, share(0), 1e-9);
         }
     }
 
     @Nested
-    final class WithoutAShift {
+    final class WithoutShift {
         @Test
-        void testAPassThatDiffersALittleIsNoShift() {
+        void testSmallVariationIsNoShift() {
             long[] varied = {600, 250, 150, 0};
             for (int time = 0; time < 6; time++) {
                 report(FIRST);
                 report(varied);
             }
 
-            assertEquals(Long.MIN_VALUE, window.shiftedMillis());
+            assertEquals(Long.MIN_VALUE, window.lastShiftMillis());
             assertTrue(window.isSettled());
         }
     }
--- a/core/src/test/java/org/jasminehub/core/experts/placement/MapChangePolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/placement/MapChangePolicyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The orders of a change of map, one by one and under every kind of trouble at once. */
+/** Tests the orders of a map change, one by one and with several kinds of faults at once. */
 final class MapChangePolicyTest {
     private static final int SIZE = 4;
     private static final long MARGIN = 2;
@@ -23,18 +23,18 @@
         return MapChangePolicy.nextOrders(List.of(views), wanted, MARGIN);
     }
 
-    /** What follows from what ranks say. */
+    /** Tests the orders that follow from given reports of the ranks. */
     @Nested
     final class OneDecision {
         @Test
-        void testRanksWithoutTheMapPrepareIt() {
+        void testRanksWithoutMapPrepareIt() {
             List<RankOrder> orders = next(7, view(0, 0, 7, 0, 0, 0), view(1, 0, 0, 0, 0, 0));
 
             assertEquals(List.of(new RankOrder(1, RankOrder.Kind.PREPARE, 7, 0)), orders);
         }
 
         @Test
-        void testAStepIsHeldBeforeAnyRankArms() {
+        void testStepIsHeldBeforeAnyRankArms() {
             List<RankOrder> orders = next(7, view(0, 0, 7, 0, 0, 0), view(1, 0, 7, 0, 0, 0));
 
             assertEquals(List.of(new RankOrder(0, RankOrder.Kind.HOLD, 0, 10 + MARGIN)), orders);
@@ -50,21 +50,21 @@
         }
 
         @Test
-        void testTheStepStaysHeldWhileARankIsNotArmed() {
+        void testStepStaysHeldWhileRankIsNotArmed() {
             List<RankOrder> orders = next(7, view(0, 0, 7, 7, 12, 12), view(1, 0, 7, 0, 0, 0));
 
             assertEquals(List.of(new RankOrder(1, RankOrder.Kind.ARM, 7, 12)), orders);
         }
 
         @Test
-        void testTheStepIsReleasedOnceAllRanksAreArmed() {
+        void testStepIsReleasedOnceAllRanksAreArmed() {
             List<RankOrder> orders = next(7, view(0, 0, 7, 7, 12, 12), view(1, 0, 7, 7, 12, 0));
 
             assertEquals(List.of(new RankOrder(0, RankOrder.Kind.RELEASE, 0, 12)), orders);
         }
 
         @Test
-        void testAnArmedMapIsTakenBackOnlyOnceANewerOneIsPrepared() {
+        void testArmedMapIsDisarmedOnlyOnceNewerMapIsPrepared() {
             assertEquals(List.of(), next(0, view(0, 0, 7, 7, 12, 12), view(1, 0, 0, 0, 0, 0)));
             assertEquals(
                     List.of(new RankOrder(0, RankOrder.Kind.DISARM, 7, 0)),
@@ -72,19 +72,19 @@
         }
 
         @Test
-        void testNothingIsOrderedAcrossEpochs() {
+        void testNoOrdersWhileRanksDisagreeOnEpoch() {
             RankView other = new RankView(1, 2, true, 10, 0, 7, 0, 0, 0);
 
             assertEquals(List.of(), next(7, view(0, 0, 7, 0, 0, 0), other));
         }
     }
 
-    /** A coordinator that acts on views that may be old, and may stop at any moment. */
+    /** A coordinator that acts on possibly outdated views and may stop at any time. */
     private static final class Coordinator {
         private final SimulatedGroup group;
         private final Random random;
         private final int number;
-        private List<RankView> seen = List.of();
+        private List<RankView> knownViews = List.of();
         private long wanted;
         private long epoch;
 
@@ -94,48 +94,48 @@
             this.number = number;
         }
 
-        void look() {
+        void refreshViews() {
             List<RankView> now = group.views();
             List<RankView> next = new ArrayList<>();
             for (int rank = 0; rank < now.size(); rank++) {
-                // Each rank's word may be as old as the last look.
-                boolean isOld = !seen.isEmpty() && random.nextInt(4) == 0;
-                next.add(isOld ? seen.get(rank) : now.get(rank));
+                // The view of a rank may be as old as the previous refresh.
+                boolean isOld = !knownViews.isEmpty() && random.nextInt(4) == 0;
+                next.add(isOld ? knownViews.get(rank) : now.get(rank));
             }
-            seen = next;
+            knownViews = next;
         }
 
         void act(double lossShare, boolean wantsChange) {
-            if (seen.isEmpty()) {
+            if (knownViews.isEmpty()) {
                 return;
             }
-            long inUse = seen.get(0).mapVersion();
-            if (epoch != seen.get(0).epoch() || wanted <= inUse || wanted < group.newestVersion()) {
+            long inUse = knownViews.get(0).mapVersion();
+            if (epoch != knownViews.get(0).epoch() || wanted <= inUse || wanted < group.newestVersion()) {
                 wanted = 0;
             }
-            if (wanted == 0 && (wantsChange || MapChangePolicy.needsChange(seen))) {
-                epoch = seen.get(0).epoch();
+            if (wanted == 0 && (wantsChange || MapChangePolicy.hasHeldStep(knownViews))) {
+                epoch = knownViews.get(0).epoch();
                 wanted = (group.newestVersion() / 8 + 1) * 8 + number;
             }
-            for (RankOrder order : MapChangePolicy.nextOrders(seen, wanted, MARGIN)) {
-                group.give(order, seen.get(0).epoch(), lossShare);
+            for (RankOrder order : MapChangePolicy.nextOrders(knownViews, wanted, MARGIN)) {
+                group.send(order, knownViews.get(0).epoch(), lossShare);
             }
         }
     }
 
-    /** Lost, late and repeated orders, old views, two coordinators at once and new epochs. */
+    /** Tests lost, delayed and repeated orders, outdated views, two concurrent coordinators and new epochs. */
     @Nested
-    final class UnderTrouble {
+    final class WithFaults {
         @Test
-        void testNoStepBeginsOnTwoMapsAndChangesStillHappen() {
+        void testEveryStepRunsOnOneMapAndChangesComplete() {
             long changes = 0;
             for (int seed = 0; seed < 400; seed++) {
-                changes += play(seed);
+                changes += runWithFaults(seed);
             }
             assertTrue(changes > 1_000, "changes in all runs: " + changes);
         }
 
-        private int play(int seed) {
+        private int runWithFaults(int seed) {
             Random random = new Random(seed);
             SimulatedGroup group = new SimulatedGroup(SIZE, random);
             List<Coordinator> coordinators =
@@ -149,12 +149,12 @@
                     changes++;
                 }
                 if (random.nextInt(500) == 0) {
-                    group.form();
+                    group.startEpoch();
                 }
-                // The second one wakes up only at times, with whatever it saw last.
+                // The second coordinator is active only occasionally, with the views that it last obtained.
                 int active = random.nextInt(20) == 0 ? 1 : 0;
                 if (random.nextInt(3) > 0) {
-                    coordinators.get(active).look();
+                    coordinators.get(active).refreshViews();
                 }
                 coordinators.get(active).act(0.35, random.nextInt(10) == 0);
             }
@@ -162,11 +162,11 @@
             return changes;
         }
 
-        /** Once trouble is over, nothing stays held. */
+        /** Checks that no step stays held once the faults have stopped. */
         private void settle(SimulatedGroup group, Coordinator coordinator, int seed) {
             for (int tick = 0; tick < 400; tick++) {
                 group.tick();
-                coordinator.look();
+                coordinator.refreshViews();
                 coordinator.act(0, false);
             }
             assertFalse(group.isHeld(), "a step is still held, seed " + seed);
--- a/core/src/test/java/org/jasminehub/core/experts/placement/PlacementPlannerTest.java
+++ b/core/src/test/java/org/jasminehub/core/experts/placement/PlacementPlannerTest.java
@@ -9,27 +9,27 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Placement of experts whose demand is uneven and shifts. */
+/** Tests the placement of experts under uneven and shifting demand. */
 final class PlacementPlannerTest {
     private static final int RANKS = 12;
     private static final int EXPERTS = 96;
     private static final int LAYERS = 3;
     private static final int NONE_SLOW = -1;
-    private static final double SLOW_PACE = 8;
+    private static final double SLOWDOWN = 8;
     private static final PlacementLimits LIMITS = new PlacementLimits(11, 4, 1, 0.005);
 
-    private static final double[] EQUAL = paces(NONE_SLOW);
+    private static final double[] NO_SLOWDOWN = slowdowns(NONE_SLOW);
 
-    private static double[] paces(int slowRank) {
-        double[] paces = new double[RANKS];
-        Arrays.fill(paces, 1);
+    private static double[] slowdowns(int slowRank) {
+        double[] slowdowns = new double[RANKS];
+        Arrays.fill(slowdowns, 1);
         if (slowRank != NONE_SLOW) {
-            paces[slowRank] = SLOW_PACE;
+            slowdowns[slowRank] = SLOWDOWN;
         }
-        return paces;
+        return slowdowns;
     }
 
-    private static ReplicaMap inTurn() {
+    private static ReplicaMap roundRobinMap() {
         int[][][] holdings = new int[LAYERS][RANKS][EXPERTS / RANKS];
         for (int[][] layer : holdings) {
             for (int expert = 0; expert < EXPERTS; expert++) {
@@ -39,7 +39,7 @@
         return new ReplicaMap(EXPERTS, holdings);
     }
 
-    /** Demand like that of a few topics: a Zipf distribution over a random order of experts. */
+    /** Returns skewed demand like that of a few topics: Zipf weights of positions drawn at random. */
     private static double[][] demand(long seed) {
         Random random = new Random(seed);
         double[][] load = new double[LAYERS][EXPERTS];
@@ -51,26 +51,26 @@
         return load;
     }
 
-    /** One change. */
+    /** Tests single changes. */
     @Nested
     final class OneChange {
         @Test
         void testNoRankCopiesMoreThanAllowed() {
-            ReplicaMap map = inTurn();
+            ReplicaMap map = roundRobinMap();
 
-            PlacementPlan plan = PlacementPlanner.plan(map, demand(1), EQUAL, LIMITS);
+            PlacementPlan plan = PlacementPlanner.plan(map, demand(1), NO_SLOWDOWN, LIMITS);
 
             for (int rank = 0; rank < RANKS; rank++) {
-                assertTrue(map.newExperts(plan.map(), rank) <= LIMITS.copiesPerRank(), "rank " + rank);
+                assertTrue(map.newExpertCount(plan.map(), rank) <= LIMITS.copiesPerRank(), "rank " + rank);
             }
             assertTrue(plan.skewAfter() < plan.skewBefore());
         }
 
         @Test
-        void testNoRankHoldsMoreThanItsPlaces() {
-            ReplicaMap map = inTurn();
+        void testNoRankHoldsMoreExpertsThanItsPlaces() {
+            ReplicaMap map = roundRobinMap();
             for (int change = 0; change < 12; change++) {
-                map = PlacementPlanner.plan(map, demand(change / 3), EQUAL, LIMITS)
+                map = PlacementPlanner.plan(map, demand(change / 3), NO_SLOWDOWN, LIMITS)
                         .map();
                 for (int layer = 0; layer < LAYERS; layer++) {
                     for (int rank = 0; rank < RANKS; rank++) {
@@ -86,54 +86,57 @@
             for (double[] layer : even) {
                 Arrays.fill(layer, 5);
             }
-            ReplicaMap map = inTurn();
+            ReplicaMap map = roundRobinMap();
 
-            PlacementPlan plan = PlacementPlanner.plan(map, even, EQUAL, LIMITS);
+            PlacementPlan plan = PlacementPlanner.plan(map, even, NO_SLOWDOWN, LIMITS);
 
             assertSame(map, plan.map());
             assertEquals(0, plan.copies());
         }
 
         @Test
-        void testAGainBelowThePriceOfItsCopiesIsLeft() {
-            PlacementLimits dear = new PlacementLimits(11, 4, 1, 5);
-            ReplicaMap map = inTurn();
-
-            assertSame(map, PlacementPlanner.plan(map, demand(3), EQUAL, dear).map());
+        void testGainBelowCostOfItsCopiesIsRejected() {
+            PlacementLimits expensive = new PlacementLimits(11, 4, 1, 5);
+            ReplicaMap map = roundRobinMap();
+
+            assertSame(
+                    map,
+                    PlacementPlanner.plan(map, demand(3), NO_SLOWDOWN, expensive)
+                            .map());
         }
     }
 
-    /** The load pattern: demand that shifts, and a few small changes after each shift. */
+    /** Tests shifting demand with a few small changes after each shift. */
     @Nested
-    final class AfterAShift {
+    final class AfterDemandShift {
         @Test
-        void testThreeSmallChangesBringTheSkewUnderTheTarget() {
+        void testThreeChangesReduceMeanSkewBelowTarget() {
             double sum = 0;
             int shifts = 10;
-            ReplicaMap map = inTurn();
+            ReplicaMap map = roundRobinMap();
             for (int shift = 0; shift < shifts; shift++) {
                 double[][] load = demand(100 + shift);
                 for (int change = 0; change < 3; change++) {
-                    map = PlacementPlanner.plan(map, load, EQUAL, LIMITS).map();
+                    map = PlacementPlanner.plan(map, load, NO_SLOWDOWN, LIMITS).map();
                 }
-                sum += map.skew(load, EQUAL);
+                sum += map.skew(load, NO_SLOWDOWN);
             }
             assertTrue(sum / shifts < 1.3, "mean skew after three changes: " + sum / shifts);
         }
     }
 
-    /** The load pattern: one rank of the group works many times slower than the others. */
+    /** Tests a group in which one rank is many times slower than the others. */
     @Nested
     final class SlowRank {
         @Test
-        void testAFewChangesTakeTheSlowRankOutOfTheWay() {
+        void testFourChangesRelieveSlowRank() {
             double[][] load = demand(7);
-            ReplicaMap map = inTurn();
-            double before = map.skew(load, paces(4));
+            ReplicaMap map = roundRobinMap();
+            double before = map.skew(load, slowdowns(4));
             for (int change = 0; change < 4; change++) {
-                map = PlacementPlanner.plan(map, load, paces(4), LIMITS).map();
+                map = PlacementPlanner.plan(map, load, slowdowns(4), LIMITS).map();
             }
-            double after = map.skew(load, paces(4));
+            double after = map.skew(load, slowdowns(4));
 
             assertTrue(after < 1.6, "skew " + before + " to " + after);
         }
--- a/core/src/test/java/org/jasminehub/core/experts/placement/SimulatedGroup.java
+++ b/core/src/test/java/org/jasminehub/core/experts/placement/SimulatedGroup.java
@@ -5,9 +5,9 @@
 import java.util.Objects;
 import java.util.Random;
 
-/** A group of engines in lock step, whose orders may be lost, answered or not, and carried out late. */
+/** Simulates a group of engines in lock step. Orders may stay unanswered and be carried out at once or later. */
 final class SimulatedGroup {
-    /** One rank's true state. */
+    /** The actual state of one rank. */
     private static final class Rank {
         private long newest;
         private long map;
@@ -17,11 +17,11 @@
         private long held;
     }
 
-    private record LateOrder(RankOrder order, long epoch, long dueTick) {}
+    private record DelayedOrder(RankOrder order, long epoch, long dueTick) {}
 
     private final Random random;
     private final List<Rank> ranks = new ArrayList<>();
-    private final List<LateOrder> late = new ArrayList<>();
+    private final List<DelayedOrder> delayed = new ArrayList<>();
     private long epoch = 1;
     private long step;
     private long tick;
@@ -34,12 +34,12 @@
         }
     }
 
-    /** Begins a pass unless a step is held, and carries out late orders; fails when ranks use different maps. */
+    /** Carries out delayed orders and begins the next step unless it is held; fails if ranks use different maps. */
     void tick() {
         tick++;
-        List<LateOrder> due =
-                late.stream().filter(order -> order.dueTick() <= tick).toList();
-        late.removeAll(due);
+        List<DelayedOrder> due =
+                delayed.stream().filter(order -> order.dueTick() <= tick).toList();
+        delayed.removeAll(due);
         due.forEach(order -> apply(order.order(), order.epoch()));
         long next = step + 1;
         if (ranks.stream().anyMatch(rank -> rank.held == next)) {
@@ -60,8 +60,8 @@
         }
     }
 
-    /** Begins a new epoch, as after a rank has crashed and come back. */
-    void form() {
+    /** Begins a new epoch, as after the crash and restart of a rank. */
+    void startEpoch() {
         epoch++;
         for (Rank rank : ranks) {
             rank.map = 0;
@@ -73,19 +73,20 @@
     }
 
     /**
-     * Gives an order.
+     * Sends an order.
      *
-     * @param lossShare how often it is not answered; half of those are carried out at once, half later
+     * @param lossShare the probability that the order is not answered; half of these orders are carried out at once,
+     *     the others later
      */
-    void give(RankOrder order, long orderEpoch, double lossShare) {
+    void send(RankOrder order, long orderEpoch, double lossShare) {
         if (random.nextDouble() >= lossShare || random.nextBoolean()) {
             apply(order, orderEpoch);
         } else {
-            late.add(new LateOrder(order, orderEpoch, tick + 20 + random.nextInt(100)));
+            delayed.add(new DelayedOrder(order, orderEpoch, tick + 20 + random.nextInt(100)));
         }
     }
 
-    /** Returns what the ranks say now. */
+    /** Returns the current states of the ranks. */
     List<RankView> views() {
         List<RankView> views = new ArrayList<>();
         for (int index = 0; index < ranks.size(); index++) {
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
@@ -226,8 +226,8 @@
         DemandWindow window = demand;
         return window != null
                 && window.isSettled()
-                && window.shiftedMillis() > wantedMillis
-                && !MapChangePolicy.needsChange(views);
+                && window.lastShiftMillis() > wantedMillis
+                && !MapChangePolicy.hasHeldStep(views);
     }
 
     private void noteMapInUse(List<RankView> views, long epoch) {
@@ -298,7 +298,7 @@
         if (current == null) {
             return;
         }
-        if (MapChangePolicy.needsChange(views)) {
+        if (MapChangePolicy.hasHeldStep(views)) {
             want(current, views, epoch, "releases a step that was held for a change that was given up");
             return;
         }
