--- a/core/src/main/java/org/jasminehub/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/jasminehub/core/admission/AdmissionController.java
@@ -13,11 +13,11 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Decides which work an endpoint runs, when, and which it refuses at once.
+ * Decides which requests an endpoint runs, in which order, and which are refused.
  *
- * <p>Work starts while the engine has places. Other work waits in a bounded queue that is fair to workspaces by weight
- * and lets urgent work go first within bounds. A request is refused as soon as it is known that it cannot meet its
- * deadline, be it on arrival or later, and always with a time to come back.
+ * <p>A request starts immediately if the engine has free capacity. Otherwise it waits in a bounded queue that shares
+ * the endpoint fairly between workspaces by weight and gives urgent work a bounded head start. A request is refused as
+ * soon as it is known that it cannot meet its deadline, on arrival or later, always with a time after which to retry.
  *
  * <pre>{@code
  * for (AdmissionOutcome outcome : controller.offer(request)) {
@@ -26,12 +26,14 @@
  * timer.schedule(controller.nextActionMillis(), controller::advance);
  * }</pre>
  *
- * <p>Every method that changes anything returns what became of the requests concerned, which may be others than the one
- * passed. Safe for use by several threads; outcomes must be acted on in the order returned.
+ * <p>Each method that changes the state returns the outcomes of all requests affected, which may be other requests than
+ * the one passed. Callers must act on the outcomes in the order returned.
+ *
+ * <p>Thread-safe.
  */
 public final class AdmissionController {
     private static final long REVIEW_INTERVAL_MILLIS = 50;
-    private static final Comparator<QueuedWork> BY_LATEST_START =
+    private static final Comparator<QueuedWork> LATEST_START_ORDER =
             Comparator.comparingLong(QueuedWork::latestStartMillis).thenComparingLong(QueuedWork::sequence);
 
     private final Clock clock;
@@ -42,13 +44,13 @@
     private final AnswerLength answerLength = new AnswerLength();
     private final DrainRate drainRate;
     private final Map<Long, QueuedWork> queued = new HashMap<>();
-    private final TreeSet<QueuedWork> byLatestStart = new TreeSet<>(BY_LATEST_START);
+    private final TreeSet<QueuedWork> byLatestStart = new TreeSet<>(LATEST_START_ORDER);
     private final Map<Long, QueuedWork> running = new HashMap<>();
     private EngineSpeed speed;
     private long nextSequence;
     private long reviewedMillis;
 
-    /** Creates a controller with an empty queue before an idle engine of this speed. */
+    /** Creates a controller with an empty queue for an idle engine of the given speed. */
     public AdmissionController(Clock clock, AdmissionSettings settings, EngineSpeed speed, EventSink events) {
         this.clock = clock;
         this.settings = settings;
@@ -60,10 +62,10 @@
         this.reviewedMillis = clock.monotonicMillis();
     }
 
-    /** Decides on a request that has just arrived. */
+    /** Decides on a newly arrived request. */
     public synchronized List<AdmissionOutcome> offer(AdmissionRequest request) {
         List<AdmissionOutcome> outcomes = new ArrayList<>(advance());
-        QueuedWork item = toWork(request);
+        QueuedWork item = toQueuedWork(request);
         if (item.latestStartMillis() < clock.monotonicMillis()) {
             outcomes.add(refuse(item, ErrorCode.DEADLINE_UNREACHABLE, 0));
         } else if (queue.isEmpty() && running.size() < speed.capacityRequests()) {
@@ -78,36 +80,36 @@
     private void enqueue(QueuedWork item, List<AdmissionOutcome> outcomes) {
         add(item);
         double waitMillis = waitMillis(item);
-        double lateMillis = clock.monotonicMillis() + waitMillis - item.latestStartMillis();
-        if (lateMillis > 0) {
+        double delayMillis = clock.monotonicMillis() + waitMillis - item.latestStartMillis();
+        if (delayMillis > 0) {
             remove(item);
-            outcomes.add(refuse(item, ErrorCode.DEADLINE_UNREACHABLE, lateMillis));
+            outcomes.add(refuse(item, ErrorCode.DEADLINE_UNREACHABLE, delayMillis));
             return;
         }
-        pushOut(outcomes);
+        evictOverflow(outcomes);
         if (queued.containsKey(item.request().key())) {
             outcomes.add(new AdmissionOutcome.Queued(item.request(), (long) waitMillis));
         }
     }
 
-    /** Refuses the work that would go last until the queue is within its bound. */
-    private void pushOut(List<AdmissionOutcome> outcomes) {
+    /** Refuses the work that is last in order until the queue is within its bound. */
+    private void evictOverflow(List<AdmissionOutcome> outcomes) {
         while (queue.queuedTokens() > settings.maxQueuedTokens()) {
             Optional<QueuedWork> last = queue.last();
             if (last.isEmpty()) {
                 return;
             }
-            double overTokens = queue.queuedTokens() - settings.maxQueuedTokens();
+            double overflowTokens = queue.queuedTokens() - settings.maxQueuedTokens();
             remove(last.get());
-            outcomes.add(refuse(last.get(), ErrorCode.OVERLOADED, overTokens / drainRate.tokensPerMilli()));
+            outcomes.add(refuse(last.get(), ErrorCode.OVERLOADED, overflowTokens / drainRate.tokensPerMilli()));
         }
     }
 
     /**
-     * Notes that a started request has ended, and starts what waits.
+     * Records that a started request has ended, and starts waiting requests.
      *
-     * @param key the request's key
-     * @param answerTokens the answer's length, negative where it is not known
+     * @param key the key of the request
+     * @param answerTokens the length of the answer, negative if unknown
      */
     public synchronized List<AdmissionOutcome> finished(long key, long answerTokens) {
         QueuedWork item = running.remove(key);
@@ -120,7 +122,7 @@
         return advance();
     }
 
-    /** Forgets a request whose caller has gone, whether it waits or runs, and starts what waits. */
+    /** Removes a waiting or running request whose caller has disconnected, and starts waiting requests. */
     public synchronized List<AdmissionOutcome> canceled(long key) {
         QueuedWork item = queued.get(key);
         if (item != null) {
@@ -130,17 +132,17 @@
         return advance();
     }
 
-    /** Takes the engine's present speed, and refuses what can no longer meet its deadline. */
-    public synchronized List<AdmissionOutcome> speedChanged(EngineSpeed present) {
-        drainRate.adapt(speed, present);
-        speed = present;
+    /** Updates the speed of the engine, and refuses requests that can no longer meet their deadline. */
+    public synchronized List<AdmissionOutcome> speedChanged(EngineSpeed newSpeed) {
+        drainRate.adapt(speed, newSpeed);
+        speed = newSpeed;
         return advance();
     }
 
-    /** Starts what there is room for, and refuses at once what can no longer meet its deadline. */
+    /** Starts as many waiting requests as fit, and refuses those that can no longer meet their deadline. */
     public synchronized List<AdmissionOutcome> advance() {
         List<AdmissionOutcome> outcomes = new ArrayList<>();
-        refuseLate(outcomes);
+        refuseUnreachable(outcomes);
         while (running.size() < speed.capacityRequests()) {
             Optional<QueuedWork> next = queue.poll();
             if (next.isEmpty()) {
@@ -152,26 +154,26 @@
         return outcomes;
     }
 
-    /** Returns when {@link #advance} must be called at the latest, or {@link Long#MAX_VALUE}. */
+    /** Returns the latest time at which {@link #advance} must be called, {@link Long#MAX_VALUE} if nothing waits. */
     public synchronized long nextActionMillis() {
         if (byLatestStart.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        long lateMillis = byLatestStart.first().latestStartMillis() + 1;
-        return Math.min(lateMillis, reviewedMillis + REVIEW_INTERVAL_MILLIS);
+        long expiryMillis = byLatestStart.first().latestStartMillis() + 1;
+        return Math.min(expiryMillis, reviewedMillis + REVIEW_INTERVAL_MILLIS);
     }
 
-    /** Returns the tokens of work that wait. */
+    /** Returns the tokens of work in the queue. */
     public synchronized long queuedTokens() {
         return queue.queuedTokens();
     }
 
-    /** Returns how many requests run. */
+    /** Returns the number of running requests. */
     public synchronized int runningRequests() {
         return running.size();
     }
 
-    private void refuseLate(List<AdmissionOutcome> outcomes) {
+    private void refuseUnreachable(List<AdmissionOutcome> outcomes) {
         long nowMillis = clock.monotonicMillis();
         boolean isReview = nowMillis - reviewedMillis >= REVIEW_INTERVAL_MILLIS;
         reviewedMillis = isReview ? nowMillis : reviewedMillis;
@@ -183,10 +185,10 @@
                 break;
             }
             double waitMillis = isReview ? waitMillis(item) : 0;
-            double lateMillis = nowMillis + waitMillis - item.latestStartMillis();
-            if (lateMillis > 0) {
+            double delayMillis = nowMillis + waitMillis - item.latestStartMillis();
+            if (delayMillis > 0) {
                 remove(item);
-                outcomes.add(refuse(item, ErrorCode.DEADLINE_UNREACHABLE, lateMillis));
+                outcomes.add(refuse(item, ErrorCode.DEADLINE_UNREACHABLE, delayMillis));
             }
         }
     }
@@ -195,7 +197,7 @@
         return (queue.tokensAhead(item) + item.workTokens()) / drainRate.tokensPerMilli();
     }
 
-    private QueuedWork toWork(AdmissionRequest request) {
+    private QueuedWork toQueuedWork(AdmissionRequest request) {
         double answerTokens = answerLength.expectedTokens(request.maxAnswerTokens());
         long workTokens = WorkCost.tokens(request.promptTokens(), (long) answerTokens);
         double serviceMillis =
--- a/core/src/main/java/org/jasminehub/core/admission/AdmissionEventKind.java
+++ b/core/src/main/java/org/jasminehub/core/admission/AdmissionEventKind.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The kinds of events that admission emits. */
+/** The kinds of events emitted by admission control. */
 public enum AdmissionEventKind implements EventKind {
-    /** An agent refused work as not run. */
+    /** An agent refused work without running it. */
     WORK_REFUSED(6000, Severity.INFO, "An agent refused work as not run, with a time to come back.");
 
     private final int number;
--- a/core/src/main/java/org/jasminehub/core/admission/AdmissionRequest.java
+++ b/core/src/main/java/org/jasminehub/core/admission/AdmissionRequest.java
@@ -5,15 +5,15 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Work that asks for admission at an agent.
+ * A request for admission at an agent.
  *
- * @param key unique among the agent's present work
- * @param workspace on whose behalf it runs
- * @param weight the workspace's share relative to others
- * @param priority which work goes first
- * @param promptTokens the prompt's estimated length
- * @param maxAnswerTokens the most tokens the answer may have
- * @param deadlineMillis when the whole answer is of no use any more, on the agent's monotonic clock
+ * @param key the key of the request, unique among the current requests of the agent
+ * @param workspace the workspace on whose behalf the request runs
+ * @param weight the weight of the workspace relative to others
+ * @param priority the priority of the request
+ * @param promptTokens the estimated length of the prompt
+ * @param maxAnswerTokens the maximum length of the answer
+ * @param deadlineMillis the deadline for the complete answer, on the agent's monotonic clock
  */
 public record AdmissionRequest(
         long key,
@@ -23,7 +23,7 @@
         long promptTokens,
         long maxAnswerTokens,
         long deadlineMillis) {
-    /** Creates a checked request. */
+    /** Creates a request; {@code weight} must be positive, and lengths must not be negative. */
     public AdmissionRequest {
         Checks.positive("weight", weight);
         Checks.notNegative("promptTokens", promptTokens);
--- a/core/src/main/java/org/jasminehub/core/admission/AdmissionSettings.java
+++ b/core/src/main/java/org/jasminehub/core/admission/AdmissionSettings.java
@@ -3,21 +3,21 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The bounds of an agent's queue.
+ * The limits of an agent's queue.
  *
- * @param maxQueuedTokens how many tokens of work may wait
- * @param urgentHeadStartTokens how far a workspace's urgent work may go ahead of the workspace's fair share
- * @param maxRetryAfterMillis the longest time after which a refused caller is asked to come back
+ * @param maxQueuedTokens the number of tokens of work that may wait
+ * @param urgentHeadStartTokens the tokens by which a workspace's urgent work may go ahead of its fair share
+ * @param maxRetryAfterMillis the longest time after which a refused caller is asked to retry
  */
 public record AdmissionSettings(long maxQueuedTokens, long urgentHeadStartTokens, long maxRetryAfterMillis) {
-    /** Creates checked settings. */
+    /** Creates settings; only {@code urgentHeadStartTokens} may be 0. */
     public AdmissionSettings {
         Checks.positive("maxQueuedTokens", maxQueuedTokens);
         Checks.notNegative("urgentHeadStartTokens", urgentHeadStartTokens);
         Checks.positive("maxRetryAfterMillis", maxRetryAfterMillis);
     }
 
-    /** Returns the bounds used where an operator sets none. */
+    /** Returns the default settings. */
     public static AdmissionSettings defaults() {
         return new AdmissionSettings(30_000, 10_000, 30_000);
     }
--- a/core/src/main/java/org/jasminehub/core/admission/AnswerLength.java
+++ b/core/src/main/java/org/jasminehub/core/admission/AnswerLength.java
@@ -1,9 +1,13 @@
 package org.jasminehub.core.admission;
 
-/** Learns how long answers are, relative to the most they may have. Not safe for use by several threads. */
+/**
+ * Estimates the length of answers as a share of their maximum length, with exponential smoothing.
+ *
+ * <p>Not thread-safe.
+ */
 final class AnswerLength {
     private static final double INITIAL_SHARE = 0.5;
-    private static final double GAIN = 0.05;
+    private static final double SMOOTHING = 0.05;
 
     private static final double DEVIATIONS = 2;
 
@@ -14,7 +18,7 @@
         return share * maxAnswerTokens;
     }
 
-    /** Returns a length that few answers go beyond. */
+    /** Returns a length that few answers exceed. */
     double longTokens(long maxAnswerTokens) {
         return Math.min(1, share + DEVIATIONS * deviation) * maxAnswerTokens;
     }
@@ -22,8 +26,8 @@
     void record(long answerTokens, long maxAnswerTokens) {
         if (maxAnswerTokens > 0) {
             double observed = Math.min(1, (double) answerTokens / maxAnswerTokens);
-            deviation += GAIN * (Math.abs(observed - share) - deviation);
-            share += GAIN * (observed - share);
+            deviation += SMOOTHING * (Math.abs(observed - share) - deviation);
+            share += SMOOTHING * (observed - share);
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/admission/DrainRate.java
+++ b/core/src/main/java/org/jasminehub/core/admission/DrainRate.java
@@ -1,10 +1,14 @@
 package org.jasminehub.core.admission;
 
-/** Measures how much work an endpoint finishes while work waits. Not safe for use by several threads. */
+/**
+ * Measures the rate at which an endpoint completes work while other work waits.
+ *
+ * <p>Not thread-safe.
+ */
 final class DrainRate {
     private static final long WINDOW_MILLIS = 2_000;
-    private static final double GAIN = 0.5;
-    private static final double LARGE_CHANGE = 1.5;
+    private static final double SMOOTHING = 0.5;
+    private static final double LARGE_CHANGE_FACTOR = 1.5;
 
     private double tokensPerMilli;
     private boolean isMeasured;
@@ -19,16 +23,16 @@
         return tokensPerMilli;
     }
 
-    /** Scales the rate when the engine's speed changes by much, and leaves smaller changes to be measured. */
-    void adapt(EngineSpeed old, EngineSpeed present) {
-        double ratio = present.tokensPerMilli() / old.tokensPerMilli();
-        if (ratio < 1 / LARGE_CHANGE || ratio > LARGE_CHANGE) {
+    /** Scales the rate after a large change of the engine's speed; smaller changes show in the measurements. */
+    void adapt(EngineSpeed oldSpeed, EngineSpeed newSpeed) {
+        double ratio = newSpeed.tokensPerMilli() / oldSpeed.tokensPerMilli();
+        if (ratio < 1 / LARGE_CHANGE_FACTOR || ratio > LARGE_CHANGE_FACTOR) {
             tokensPerMilli *= ratio;
             windowStartMillis = -1;
         }
     }
 
-    /** Notes work that ended at {@code nowMillis}; {@code backlogged} tells whether other work waited meanwhile. */
+    /** Records work that ended at {@code nowMillis}. Set {@code backlogged} if other work is waiting. */
     void finished(long nowMillis, long workTokens, boolean backlogged) {
         if (!backlogged) {
             windowStartMillis = -1;
@@ -48,9 +52,9 @@
         }
     }
 
-    private void update(double measured) {
-        double gain = isMeasured ? GAIN : 1;
-        tokensPerMilli += gain * (measured - tokensPerMilli);
+    private void update(double measuredRate) {
+        double smoothing = isMeasured ? SMOOTHING : 1;
+        tokensPerMilli += smoothing * (measuredRate - tokensPerMilli);
         isMeasured = true;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/admission/FairQueue.java
+++ b/core/src/main/java/org/jasminehub/core/admission/FairQueue.java
@@ -11,9 +11,11 @@
 /**
  * Orders waiting work by start-time fair queueing over workspaces, with a bounded head start by priority.
  *
- * <p>Each workspace's virtual time grows by its work divided by its weight. Work of the workspace with the lowest
- * virtual time goes next, after a head start for urgent work is taken off. The head start is bounded in tokens, so that
- * a flood of urgent work of one workspace delays the others by no more than that. Not safe for use by several threads.
+ * <p>The virtual time of a workspace increases by its work divided by its weight. The next work is taken from the
+ * workspace with the lowest virtual time, reduced by a head start for urgent work. The head start is bounded in tokens,
+ * so a large amount of urgent work of one workspace delays other workspaces by no more than that.
+ *
+ * <p>Not thread-safe.
  */
 final class FairQueue {
     private final Map<WorkspaceId, WorkspaceQueue> queues = new LinkedHashMap<>();
@@ -38,14 +40,14 @@
         WorkspaceQueue queue = queues.get(item.request().workspace());
         if (queue != null && queue.remove(item)) {
             queuedTokens -= item.workTokens();
-            forgetIdle();
+            removeIdle();
         }
     }
 
-    /** Takes out the work that goes next and charges its workspace. */
+    /** Removes the next work in order and charges its workspace. */
     Optional<QueuedWork> poll() {
         Optional<WorkspaceQueue> next =
-                backlogged().stream().min(Comparator.comparingDouble(queue -> rank(queue, 0, queue.first())));
+                backlogged().stream().min(Comparator.comparingDouble(queue -> orderTag(queue, 0, queue.first())));
         next.ifPresent(queue -> virtualTime =
                 backlogged().stream().mapToDouble(this::startTag).min().orElse(virtualTime));
         return next.map(this::take);
@@ -57,7 +59,7 @@
         queue.remove(item);
         queue.charge(startTag, item.workTokens());
         queuedTokens -= item.workTokens();
-        forgetIdle();
+        removeIdle();
         return item;
     }
 
@@ -66,27 +68,27 @@
         WorkspaceQueue queue = queues.computeIfAbsent(request.workspace(), key -> new WorkspaceQueue(request.weight()));
         queue.charge(startTag(queue), workTokens);
         virtualTime = Math.max(virtualTime, queue.servedUntil());
-        forgetIdle();
+        removeIdle();
     }
 
-    /** Returns the work that would go last. */
+    /** Returns the last work in order. */
     Optional<QueuedWork> last() {
         return backlogged().stream()
                 .max(Comparator.comparingDouble(queue -> {
                     QueuedWork item = queue.last();
-                    return rank(queue, queue.queuedTokens() - item.workTokens(), item);
+                    return orderTag(queue, queue.queuedTokens() - item.workTokens(), item);
                 }))
                 .map(WorkspaceQueue::last);
     }
 
-    /** Returns how many tokens of the queue go before {@code item}, which is in the queue. */
+    /** Returns the tokens of work ahead of {@code item}, which must be in the queue. */
     double tokensAhead(QueuedWork item) {
         WorkspaceQueue own = queues.get(item.request().workspace());
         if (own == null) {
             return 0;
         }
         long ownTokens = own.tokensBefore(item);
-        double limit = rank(own, ownTokens, item);
+        double limit = orderTag(own, ownTokens, item);
         double ahead = ownTokens;
         for (WorkspaceQueue other : queues.values()) {
             if (other != own) {
@@ -96,22 +98,22 @@
         return ahead;
     }
 
-    /** Returns the tokens of {@code queue} that are ranked before {@code limit}. */
+    /** Returns the tokens of {@code queue} that are ordered before the tag {@code limit}. */
     private double tokensBefore(double limit, WorkspaceQueue queue) {
-        double served = 0;
+        double total = 0;
         for (Priority priority : Priority.values()) {
-            double until = limit - startTag(queue) + headStartTokens[priority.ordinal()] / queue.weight();
-            double wanted = queue.queuedTokens(priority);
-            double taken = Math.max(0, Math.min(wanted, until * queue.weight() - served));
-            served += taken;
-            if (taken < wanted) {
+            double endTag = limit - startTag(queue) + headStartTokens[priority.ordinal()] / queue.weight();
+            double queued = queue.queuedTokens(priority);
+            double ahead = Math.max(0, Math.min(queued, endTag * queue.weight() - total));
+            total += ahead;
+            if (ahead < queued) {
                 break;
             }
         }
-        return served;
+        return total;
     }
 
-    /** Returns the share of the endpoint that the workspace gets among those that wait. */
+    /** Returns the share of the endpoint that the workspace receives among the workspaces with waiting work. */
     double share(AdmissionRequest request) {
         double others = queues.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(request.workspace()))
@@ -129,7 +131,7 @@
         return queuedTokens == 0;
     }
 
-    private double rank(WorkspaceQueue queue, long tokensBefore, QueuedWork item) {
+    private double orderTag(WorkspaceQueue queue, long tokensBefore, QueuedWork item) {
         double headStart = headStartTokens[item.priority().ordinal()];
         return startTag(queue) + (tokensBefore - headStart) / queue.weight();
     }
@@ -142,7 +144,7 @@
         return queues.values().stream().filter(queue -> !queue.isEmpty()).toList();
     }
 
-    private void forgetIdle() {
+    private void removeIdle() {
         queues.values().removeIf(queue -> queue.isEmpty() && queue.servedUntil() <= virtualTime);
     }
 }
--- a/core/src/main/java/org/jasminehub/core/admission/RetryTimes.java
+++ b/core/src/main/java/org/jasminehub/core/admission/RetryTimes.java
@@ -5,9 +5,9 @@
 import org.jasminehub.core.identity.WorkspaceId;
 
 /**
- * Spreads the times at which refused callers come back, so that they arrive no faster than their workspace is served.
+ * Assigns retry times to refused callers so that callers of a workspace return no faster than the workspace is served.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class RetryTimes {
     private static final long MIN_RETRY_AFTER_MILLIS = 50;
@@ -20,12 +20,12 @@
     }
 
     /**
-     * Returns when the caller should come back, from now.
+     * Reserves a retry time and returns the time until then.
      *
-     * @param workspace the caller's workspace
-     * @param nowMillis the present time
-     * @param waitMillis until when the endpoint has no place for the request
-     * @param serviceMillis how long the workspace's share of the endpoint is taken by the request
+     * @param workspace the workspace of the caller
+     * @param nowMillis the current time
+     * @param waitMillis the time until the endpoint has room for the request
+     * @param serviceMillis how long the request occupies the workspace's share of the endpoint
      */
     long reserve(WorkspaceId workspace, long nowMillis, double waitMillis, double serviceMillis) {
         nextFreeMillis.values().removeIf(millis -> millis <= nowMillis);
--- a/core/src/main/java/org/jasminehub/core/admission/WorkRefused.java
+++ b/core/src/main/java/org/jasminehub/core/admission/WorkRefused.java
@@ -6,14 +6,14 @@
 import org.jasminehub.core.event.EventKind;
 
 /**
- * An agent refused work as not run.
+ * Emitted when an agent refuses work without running it.
  *
- * @param workspace on whose behalf it would have run
- * @param priority its priority
- * @param code why it was refused
- * @param retryAfterMillis when the caller is asked to come back, from now
- * @param queuedTokens tokens of work that wait
- * @param runningRequests requests that run
+ * @param workspace the workspace of the refused request
+ * @param priority the priority of the request
+ * @param code the reason for the refusal
+ * @param retryAfterMillis the time after which the caller is asked to retry
+ * @param queuedTokens the tokens of work in the queue
+ * @param runningRequests the number of running requests
  */
 public record WorkRefused(
         String workspace,
--- a/core/src/main/java/org/jasminehub/core/admission/WorkspaceQueue.java
+++ b/core/src/main/java/org/jasminehub/core/admission/WorkspaceQueue.java
@@ -3,7 +3,7 @@
 import java.util.TreeSet;
 import org.jasminehub.core.document.Priority;
 
-/** The waiting work of one workspace, with the virtual time up to which the workspace has been served. */
+/** The queue of one workspace, with the virtual time up to which the workspace has been served. */
 final class WorkspaceQueue {
     private final TreeSet<QueuedWork> work = new TreeSet<>(QueuedWork.ORDER);
     private final long[] queuedTokens = new long[Priority.values().length];
@@ -53,7 +53,7 @@
         servedUntil = startTag + (double) workTokens / weight;
     }
 
-    /** Returns the tokens that go before {@code item} within this workspace. */
+    /** Returns the tokens of work ahead of {@code item} within this workspace. */
     long tokensBefore(QueuedWork item) {
         return work.headSet(item).stream().mapToLong(QueuedWork::workTokens).sum();
     }
--- a/core/src/main/java/org/jasminehub/core/admission/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Which work an agent lets its endpoint run, when, and which it refuses. */
+/** Admission control at an agent: which requests its endpoint runs, in which order, and which are refused. */
 @NullMarked
 package org.jasminehub.core.admission;
 
--- a/core/src/main/java/org/jasminehub/core/balance/EndpointChoicePolicy.java
+++ b/core/src/main/java/org/jasminehub/core/balance/EndpointChoicePolicy.java
@@ -9,63 +9,63 @@
 import org.jasminehub.core.serving.EndpointRecord;
 
 /**
- * Chooses the endpoint with the least open calls for its slots.
+ * Chooses the endpoint with the fewest open calls relative to its slots.
  *
- * <p>Load pattern: endpoints of equal build, some of them slow or failing without saying so. Failures of late count like
- * open calls, so that a failing endpoint gets little and a recovered one comes back by itself. Among equals the nearest
- * is taken, which saves bytes between failure domains.
+ * <p>Endpoints have the same capacity, but some may be slow or failing without reporting it. Recent failures count like
+ * open calls, so a failing endpoint receives few calls and a recovered one receives calls again without intervention.
+ * Among equally loaded endpoints, one in the local failure domain is preferred to save traffic between domains.
  */
 public final class EndpointChoicePolicy {
-    /** One failure of late weighs as much as a whole endpoint's slots in use. */
+    /** A recent failure counts as much as having all slots of the endpoint in use. */
     private static final double FAILURE_LOAD = 1.0;
 
-    /** Less than one call in any endpoint's slots: distance decides only among equals. */
+    /** Smaller than the load of one call at any endpoint, so distance only decides between equally loaded endpoints. */
     private static final double DISTANCE_LOAD = 0.04;
 
-    /** Breaks ties between instances that know the same loads; below the weight of distance. */
+    /** Random tie-break between instances that know the same loads; smaller than the weight of distance. */
     private static final double JITTER_LOAD = 0.02;
 
     private final EndpointLoads loads;
-    private final FailureDomain home;
+    private final FailureDomain localDomain;
     private final RandomGenerator random;
 
-    /** Creates a policy of an instance in {@code home}. */
-    public EndpointChoicePolicy(EndpointLoads loads, FailureDomain home, RandomGenerator random) {
+    /** Creates a policy for an instance in the failure domain {@code localDomain}. */
+    public EndpointChoicePolicy(EndpointLoads loads, FailureDomain localDomain, RandomGenerator random) {
         this.loads = loads;
-        this.home = home;
+        this.localDomain = localDomain;
         this.random = random;
     }
 
     /**
-     * Returns the best endpoint, empty where each one has {@code maxCallsPerSlot} calls for each slot or more.
+     * Returns the least loaded endpoint, or empty if another call would take every one above {@code maxCallsPerSlot}.
      *
-     * @param avoided endpoints that failed this call already; they are taken only if no other is left
+     * @param avoided endpoints that already failed this call; they are chosen only if no other endpoint has room
      */
     public Optional<EndpointRecord> choose(
             List<EndpointRecord> candidates, Set<EndpointId> avoided, double maxCallsPerSlot) {
-        Optional<EndpointRecord> fresh = best(
+        Optional<EndpointRecord> untried = best(
                 candidates.stream()
                         .filter(candidate -> !avoided.contains(candidate.id()))
                         .toList(),
                 maxCallsPerSlot);
-        return fresh.isPresent() || avoided.isEmpty() ? fresh : best(candidates, maxCallsPerSlot);
+        return untried.isPresent() || avoided.isEmpty() ? untried : best(candidates, maxCallsPerSlot);
     }
 
     private Optional<EndpointRecord> best(List<EndpointRecord> candidates, double maxCallsPerSlot) {
         EndpointRecord best = null;
         double bestScore = Double.MAX_VALUE;
         for (EndpointRecord candidate : candidates) {
-            // A slow endpoint's calls take as much of it as several would elsewhere, this one included.
-            double pace = loads.pace(candidate.id());
+            // Each call at a slow endpoint, including this one, occupies it as much as several calls would elsewhere.
+            double slowdown = loads.slowdown(candidate.id());
             double open = loads.openCalls(candidate.id());
-            double load = open * pace / candidate.slots();
+            double load = open * slowdown / candidate.slots();
             if (open >= candidate.slots() * maxCallsPerSlot
-                    || (open + 1) * pace > candidate.slots() * maxCallsPerSlot) {
+                    || (open + 1) * slowdown > candidate.slots() * maxCallsPerSlot) {
                 continue;
             }
             double score = load
                     + FAILURE_LOAD * loads.failureWeight(candidate.id())
-                    + (candidate.domain().equals(home) ? 0 : DISTANCE_LOAD)
+                    + (candidate.domain().equals(localDomain) ? 0 : DISTANCE_LOAD)
                     + JITTER_LOAD * random.nextDouble();
             if (score < bestScore) {
                 best = candidate;
--- a/core/src/main/java/org/jasminehub/core/balance/EndpointLoads.java
+++ b/core/src/main/java/org/jasminehub/core/balance/EndpointLoads.java
@@ -6,43 +6,44 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * How many calls each endpoint has in hand, sent by this instance and by its peers, and how it failed lately.
+ * Tracks the open calls of each endpoint, sent by this instance and by its peers, and the recent failures.
  *
- * <p>Load pattern: many instances place calls on few endpoints, and an engine's own report is some hundred milliseconds
- * old. What instances tell each other of their open calls is younger, so herding on one old report does not happen.
+ * <p>Many instances send calls to few endpoints, and an engine's own load report is a few hundred milliseconds old. The
+ * open-call counts that instances exchange are fresher, so instances do not all send to the same endpoint on the basis
+ * of one outdated report.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class EndpointLoads {
-    /** A peer that has been silent for longer has no say; its calls end or are cut within about this time. */
-    private static final long PEER_VIEW_MILLIS = 2_000;
+    /** Peer data older than this is ignored; the calls of a silent peer end or are cut off within about this time. */
+    private static final long MAX_PEER_AGE_MILLIS = 2_000;
 
-    /** After this time half of a failure's weight is gone, so that an endpoint is tried again within seconds. */
+    /** Time in which the weight of a failure halves, so that a failed endpoint is tried again within seconds. */
     private static final double FAILURE_HALF_LIFE_MILLIS = 2_500;
 
     private final Clock clock;
-    private final Map<EndpointId, Integer> own = new HashMap<>();
-    private final Map<String, PeerView> peers = new HashMap<>();
+    private final Map<EndpointId, Integer> ownCalls = new HashMap<>();
+    private final Map<String, PeerLoads> loadsByPeer = new HashMap<>();
     private final Map<EndpointId, Failures> failures = new HashMap<>();
-    private Map<EndpointId, Double> paces = Map.of();
-    private long pacesMillis;
+    private Map<EndpointId, Double> slowdowns = Map.of();
+    private long slowdownsMillis;
 
-    /** Creates loads without a call. */
+    /** Creates a tracker without open calls. */
     public EndpointLoads(Clock clock) {
         this.clock = clock;
     }
 
-    /** Notes that this instance has sent a call to {@code endpoint}. */
+    /** Records that this instance sent a call to {@code endpoint}. */
     public void onSent(EndpointId endpoint) {
-        own.merge(endpoint, 1, Integer::sum);
+        ownCalls.merge(endpoint, 1, Integer::sum);
     }
 
-    /** Notes that a call of this instance has ended. */
+    /** Records that a call from this instance to {@code endpoint} ended. */
     public void onEnded(EndpointId endpoint) {
-        own.computeIfPresent(endpoint, (id, count) -> count > 1 ? count - 1 : null);
+        ownCalls.computeIfPresent(endpoint, (id, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** Notes that {@code endpoint} served a call well. */
+    /** Records that {@code endpoint} served a call successfully. */
     public void onSuccess(EndpointId endpoint) {
         Failures known = failures.get(endpoint);
         if (known != null) {
@@ -50,72 +51,72 @@
         }
     }
 
-    /** Notes that {@code endpoint} failed a call: cut it, gave an error or no answer in time. */
+    /** Records that {@code endpoint} failed a call: cut it off, returned an error or did not respond in time. */
     public void onFailure(EndpointId endpoint) {
         failures.computeIfAbsent(endpoint, id -> new Failures()).add(1, clock.monotonicMillis());
     }
 
-    /** Takes the open calls of {@code peer}, which replace what it said before. */
+    /** Replaces the open calls last received from {@code peer}. */
     public void onPeerLoads(String peer, Map<EndpointId, Integer> calls) {
-        peers.put(peer, new PeerView(clock.monotonicMillis(), Map.copyOf(calls)));
+        loadsByPeer.put(peer, new PeerLoads(clock.monotonicMillis(), Map.copyOf(calls)));
     }
 
-    /** Forgets what {@code peer} said. */
+    /** Removes the open calls received from {@code peer}. */
     public void forgetPeer(String peer) {
-        peers.remove(peer);
+        loadsByPeer.remove(peer);
     }
 
-    /** Takes what a peer says of endpoints that are slow; it replaces what was said before. */
-    public void onPaces(Map<EndpointId, Double> slow) {
-        paces = Map.copyOf(slow);
-        pacesMillis = clock.monotonicMillis();
+    /** Replaces the slowdown factors of slow endpoints, as detected here or received from a peer. */
+    public void onSlowdowns(Map<EndpointId, Double> slow) {
+        slowdowns = Map.copyOf(slow);
+        slowdownsMillis = clock.monotonicMillis();
     }
 
-    /** Returns how many times as long the endpoint's work takes, 1 where nobody says that it is slow. */
-    public double pace(EndpointId endpoint) {
-        boolean isFresh = clock.monotonicMillis() - pacesMillis <= PEER_VIEW_MILLIS;
-        return isFresh ? paces.getOrDefault(endpoint, 1.0) : 1.0;
+    /** Returns the duration of work at {@code endpoint} relative to normal, or 1 if it is not known to be slow. */
+    public double slowdown(EndpointId endpoint) {
+        boolean isFresh = clock.monotonicMillis() - slowdownsMillis <= MAX_PEER_AGE_MILLIS;
+        return isFresh ? slowdowns.getOrDefault(endpoint, 1.0) : 1.0;
     }
 
     /** Returns the open calls of this instance. */
     public Map<EndpointId, Integer> ownCalls() {
-        return Map.copyOf(own);
+        return Map.copyOf(ownCalls);
     }
 
-    /** Returns all open calls at {@code endpoint}, as far as known here. */
+    /** Returns the known open calls at {@code endpoint}, from this instance and all peers with recent data. */
     public int openCalls(EndpointId endpoint) {
-        long sinceMillis = clock.monotonicMillis() - PEER_VIEW_MILLIS;
-        int calls = own.getOrDefault(endpoint, 0);
-        for (PeerView view : peers.values()) {
-            if (view.takenMillis() >= sinceMillis) {
+        long oldestMillis = clock.monotonicMillis() - MAX_PEER_AGE_MILLIS;
+        int calls = ownCalls.getOrDefault(endpoint, 0);
+        for (PeerLoads view : loadsByPeer.values()) {
+            if (view.receivedMillis() >= oldestMillis) {
                 calls += view.calls().getOrDefault(endpoint, 0);
             }
         }
         return calls;
     }
 
-    /** Returns how many failures weigh on {@code endpoint} now; each loses its weight over a few seconds. */
+    /** Returns the decayed number of recent failures of {@code endpoint}; a failure decays within a few seconds. */
     public double failureWeight(EndpointId endpoint) {
         Failures known = failures.get(endpoint);
         return known == null ? 0 : known.weight(clock.monotonicMillis());
     }
 
-    private record PeerView(long takenMillis, Map<EndpointId, Integer> calls) {}
+    private record PeerLoads(long receivedMillis, Map<EndpointId, Integer> calls) {}
 
-    /** Failures that fade with time; a success halves what is left. */
+    /** An exponentially decaying failure count; each success halves it. */
     private static final class Failures {
         private static final double SUCCESS_FACTOR = 0.5;
 
         private double weight;
-        private long atMillis;
+        private long updatedMillis;
 
         void add(int failed, long nowMillis) {
             weight = failed == 0 ? weight(nowMillis) * SUCCESS_FACTOR : weight(nowMillis) + failed;
-            atMillis = nowMillis;
+            updatedMillis = nowMillis;
         }
 
         double weight(long nowMillis) {
-            return weight * Math.pow(0.5, (nowMillis - atMillis) / FAILURE_HALF_LIFE_MILLIS);
+            return weight * Math.pow(0.5, (nowMillis - updatedMillis) / FAILURE_HALF_LIFE_MILLIS);
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/balance/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/balance/package-info.java
@@ -1,4 +1,4 @@
-/** Decisions of a gateway on a call: which endpoint, when to repeat, when to give up. No input and output. */
+/** Call-level decisions of a gateway: endpoint selection, retries, queueing and load limits. Performs no I/O. */
 @NullMarked
 package org.jasminehub.core.balance;
 
--- a/core/src/main/java/org/jasminehub/core/limit/DemandMeter.java
+++ b/core/src/main/java/org/jasminehub/core/limit/DemandMeter.java
@@ -1,6 +1,10 @@
 package org.jasminehub.core.limit;
 
-/** Measures how much was asked for a second, whether it was allowed or not. Not safe for use by several threads. */
+/**
+ * Measures the demand per second, including requests that were not allowed.
+ *
+ * <p>Not thread-safe.
+ */
 final class DemandMeter {
     private static final double MILLIS_PER_SECOND = 1000;
     private static final long WINDOW_MILLIS = 1000;
@@ -14,21 +18,21 @@
     }
 
     void add(double units, long nowMillis) {
-        roll(nowMillis);
+        advanceWindow(nowMillis);
         windowUnits += units;
     }
 
-    /** Returns the larger of the last whole window's demand and the present one's. */
+    /** Returns the demand in the last complete window or in the current one, whichever is larger. */
     double perSecond(long nowMillis) {
-        roll(nowMillis);
+        advanceWindow(nowMillis);
         return Math.max(lastPerSecond, windowUnits);
     }
 
-    private void roll(long nowMillis) {
+    private void advanceWindow(long nowMillis) {
         long elapsedMillis = nowMillis - windowStartMillis;
         if (elapsedMillis >= WINDOW_MILLIS) {
-            boolean isNext = elapsedMillis < 2 * WINDOW_MILLIS;
-            lastPerSecond = isNext ? windowUnits * MILLIS_PER_SECOND / elapsedMillis : 0;
+            boolean isConsecutive = elapsedMillis < 2 * WINDOW_MILLIS;
+            lastPerSecond = isConsecutive ? windowUnits * MILLIS_PER_SECOND / elapsedMillis : 0;
             windowUnits = 0;
             windowStartMillis = nowMillis;
         }
--- a/core/src/main/java/org/jasminehub/core/limit/LimitDecision.java
+++ b/core/src/main/java/org/jasminehub/core/limit/LimitDecision.java
@@ -1,20 +1,20 @@
 package org.jasminehub.core.limit;
 
-/** Whether a workspace's limits let a request through. */
+/** The decision whether the limits of a workspace allow a request. */
 public sealed interface LimitDecision {
     /**
-     * It may run; its tokens are charged until the real number is known.
+     * The request may run. Its maximum number of tokens is charged until the actual number is known.
      *
      * @param chargedTokens the tokens charged
-     * @param startMillis when it was let through, on the monotonic clock
+     * @param startMillis when the request was allowed, on the monotonic clock
      */
     record Allowed(long chargedTokens, long startMillis) implements LimitDecision {}
 
     /**
-     * It may not run now.
+     * The request may not run now.
      *
-     * @param kind the limit that is used up
-     * @param retryAfterMillis when to come back, from now
+     * @param kind the limit that is exhausted
+     * @param retryAfterMillis the time after which the caller should retry
      */
     record Exceeded(LimitKind kind, long retryAfterMillis) implements LimitDecision {}
 }
--- a/core/src/main/java/org/jasminehub/core/limit/LimitKind.java
+++ b/core/src/main/java/org/jasminehub/core/limit/LimitKind.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.limit;
 
-/** What is limited. */
+/** The quantity that a limit applies to. */
 public enum LimitKind {
-    /** Requests started a second. */
+    /** Requests started per second. */
     REQUESTS,
-    /** Tokens used a second. */
+    /** Tokens used per second. */
     TOKENS,
-    /** Requests that run at a time. */
+    /** Requests that run concurrently. */
     CONCURRENCY
 }
--- a/core/src/main/java/org/jasminehub/core/limit/LoanReply.java
+++ b/core/src/main/java/org/jasminehub/core/limit/LoanReply.java
@@ -1,9 +1,9 @@
 package org.jasminehub.core.limit;
 
 /**
- * Lends a part of a share.
+ * The reply to a {@link LoanRequest}.
  *
- * @param amount how much is lent, 0 where nothing is spare
- * @param durationMillis how long the borrower may use it, counted from when it sent its request
+ * @param amount the amount lent, 0 if the lender has none to spare
+ * @param durationMillis how long the borrower may use the amount, counted from when it sent the request
  */
 public record LoanReply(double amount, long durationMillis) {}
--- a/core/src/main/java/org/jasminehub/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/jasminehub/core/limit/TokenBucket.java
@@ -1,10 +1,12 @@
 package org.jasminehub.core.limit;
 
 /**
- * Lets units through at a rate, with one second's worth of them at once.
+ * A token bucket with a burst capacity of one second's worth of units.
  *
- * <p>A request larger than that passes when the bucket is full and leaves it in debt, so that the rate holds over time.
- * Not safe for use by several threads.
+ * <p>A request larger than the capacity passes when the bucket is full and makes its balance negative, so that the rate
+ * is still met over time.
+ *
+ * <p>Not thread-safe.
  */
 final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1000;
@@ -25,7 +27,7 @@
         available = Math.min(available, ratePerSecond);
     }
 
-    /** Returns how long until {@code units} may pass, 0 where they may pass now. */
+    /** Returns the time until {@code units} may pass, 0 if they may pass now. */
     long waitMillis(double units, long nowMillis) {
         refill(nowMillis);
         double missing = Math.min(units, ratePerSecond) - available;
@@ -40,13 +42,13 @@
         available -= units;
     }
 
-    void giveBack(double units) {
+    void refund(double units) {
         available = Math.min(ratePerSecond, available + units);
     }
 
     private void refill(long nowMillis) {
-        double added = (nowMillis - refilledMillis) / MILLIS_PER_SECOND * ratePerSecond;
-        available = Math.min(ratePerSecond, available + added);
+        double refilled = (nowMillis - refilledMillis) / MILLIS_PER_SECOND * ratePerSecond;
+        available = Math.min(ratePerSecond, available + refilled);
         refilledMillis = nowMillis;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/limit/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/limit/package-info.java
@@ -1,4 +1,4 @@
-/** The limits of workspaces, shared over the entry instances that their callers use. */
+/** Rate and concurrency limits of workspaces, shared between the entry instances that serve their callers. */
 @NullMarked
 package org.jasminehub.core.limit;
 
--- a/core/src/main/java/org/jasminehub/core/routing/EndpointPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/routing/EndpointPolicy.java
@@ -6,10 +6,10 @@
 /**
  * Chooses the endpoint for a request.
  *
- * <p>Implementations may keep state of their own and must then say how they are shared between threads.
+ * <p>Implementations may be stateful and must then document their thread safety.
  */
 @FunctionalInterface
 public interface EndpointPolicy {
-    /** Returns the choice among {@code candidates}, or nothing where none may be used. */
+    /** Returns the choice among {@code candidates}, or empty if none of them can be used. */
     Optional<EndpointChoice> choose(RoutingRequest request, List<EndpointState> candidates);
 }
--- a/core/src/main/java/org/jasminehub/core/routing/EndpointSampler.java
+++ b/core/src/main/java/org/jasminehub/core/routing/EndpointSampler.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Draws distinct endpoints at random. */
+/** Selects distinct endpoints at random. */
 final class EndpointSampler {
     private final RandomGenerator random;
 
@@ -12,18 +12,18 @@
         this.random = random;
     }
 
-    /** Returns {@code count} of {@code states}, or all of them where there are no more. */
+    /** Returns {@code count} random elements of {@code states}, or all of them if there are no more than that. */
     List<EndpointState> sample(List<EndpointState> states, int count) {
         if (states.size() <= count) {
             return states;
         }
-        List<EndpointState> rest = new ArrayList<>(states);
+        List<EndpointState> remaining = new ArrayList<>(states);
         List<EndpointState> sample = new ArrayList<>(count);
         while (sample.size() < count) {
-            int index = random.nextInt(rest.size());
-            EndpointState last = rest.remove(rest.size() - 1);
-            boolean isLast = index == rest.size();
-            sample.add(isLast ? last : rest.set(index, last));
+            int index = random.nextInt(remaining.size());
+            EndpointState last = remaining.remove(remaining.size() - 1);
+            boolean isLast = index == remaining.size();
+            sample.add(isLast ? last : remaining.set(index, last));
         }
         return sample;
     }
--- a/core/src/main/java/org/jasminehub/core/routing/EndpointState.java
+++ b/core/src/main/java/org/jasminehub/core/routing/EndpointState.java
@@ -4,16 +4,16 @@
 import org.jasminehub.core.identity.FailureDomain;
 
 /**
- * What an entry instance knows of one endpoint when it chooses.
+ * The state of an endpoint as known to an entry instance when it chooses an endpoint for a request.
  *
- * @param id the endpoint
- * @param failureDomain where it runs
- * @param load its last load report
- * @param loadAgeMillis how old that report is
- * @param sentSinceTokens tokens of work that this entry instance sent it since that report
- * @param outstandingRequests requests of this entry instance that it has not finished
- * @param prefixHitTokens how many of the prompt's tokens it probably still has in its prefix cache
- * @param delayRatio how long first tokens took lately, relative to their estimates; 1 where nothing is known
+ * @param id the id of the endpoint
+ * @param failureDomain the failure domain of the endpoint
+ * @param load the latest load report of the endpoint
+ * @param loadAgeMillis the age of that report
+ * @param sentSinceTokens the tokens of work that this entry instance has sent to the endpoint since that report
+ * @param outstandingRequests the number of unfinished requests of this entry instance at the endpoint
+ * @param prefixHitTokens the expected number of prompt tokens found in the prefix cache of the endpoint
+ * @param delayRatio the recent time to the first token relative to its estimate, or 1 if unknown
  */
 public record EndpointState(
         EndpointId id,
@@ -24,7 +24,7 @@
         int outstandingRequests,
         long prefixHitTokens,
         double delayRatio) {
-    /** Creates the state of an endpoint of whose delays nothing is known. */
+    /** Creates the state of an endpoint with an unknown delay ratio. */
     public EndpointState(
             EndpointId id,
             FailureDomain failureDomain,
--- a/core/src/main/java/org/jasminehub/core/routing/EndpointTracker.java
+++ b/core/src/main/java/org/jasminehub/core/routing/EndpointTracker.java
@@ -9,7 +9,7 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Keeps what an entry instance knows of its endpoints: their last reports, its own work since, and their delays.
+ * Tracks the state of endpoints at an entry instance: latest load reports, work sent since then, and observed delays.
  *
  * <pre>{@code
  * tracker.recordReport(endpoint, report, ageMillis);
@@ -17,113 +17,113 @@
  * EndpointState state = tracker.state(endpoint, failureDomain, prefixHitTokens);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class EndpointTracker {
-    private static final int MAX_SENDS = 1024;
-    private static final double DELAY_GAIN = 0.2;
+    private static final int MAX_RECORDED_SENDS = 1024;
+    private static final double DELAY_SMOOTHING = 0.2;
     private static final double MAX_DELAY_RATIO = 20;
     private static final double DELAY_HALF_LIFE_MILLIS = 5_000;
 
     private final Clock clock;
-    private final Map<EndpointId, Knowledge> endpoints = new HashMap<>();
+    private final Map<EndpointId, TrackedEndpoint> endpoints = new HashMap<>();
 
-    /** Creates a tracker that knows no endpoint yet. */
+    /** Creates a tracker without endpoints. */
     public EndpointTracker(Clock clock) {
         this.clock = clock;
     }
 
-    /** Takes a report that was {@code ageMillis} old when it came; one older than the last is ignored. */
+    /** Records a report that was {@code ageMillis} old on arrival; a report older than the latest one is ignored. */
     public synchronized void recordReport(EndpointId endpoint, LoadReport report, long ageMillis) {
-        Knowledge knowledge = knowledge(endpoint);
-        long takenMillis = clock.monotonicMillis() - Math.max(0, ageMillis);
-        if (knowledge.hasReport && takenMillis < knowledge.takenMillis) {
+        TrackedEndpoint tracked = tracked(endpoint);
+        long reportMillis = clock.monotonicMillis() - Math.max(0, ageMillis);
+        if (tracked.hasReport && reportMillis < tracked.reportMillis) {
             return;
         }
-        knowledge.hasReport = true;
-        knowledge.report = report;
-        knowledge.takenMillis = takenMillis;
-        knowledge.dropSendsUntil(takenMillis);
+        tracked.hasReport = true;
+        tracked.report = report;
+        tracked.reportMillis = reportMillis;
+        tracked.removeSendsUntil(reportMillis);
     }
 
-    /** Notes a request sent to the endpoint. */
+    /** Records a request sent to the endpoint. */
     public synchronized void recordSent(EndpointId endpoint, long workTokens) {
-        Knowledge knowledge = knowledge(endpoint);
-        knowledge.outstandingRequests++;
-        knowledge.sends.addLast(new Send(clock.monotonicMillis(), workTokens));
-        if (knowledge.sends.size() > MAX_SENDS) {
-            knowledge.sends.removeFirst();
+        TrackedEndpoint tracked = tracked(endpoint);
+        tracked.outstandingRequests++;
+        tracked.sends.addLast(new Send(clock.monotonicMillis(), workTokens));
+        if (tracked.sends.size() > MAX_RECORDED_SENDS) {
+            tracked.sends.removeFirst();
         }
     }
 
-    /** Notes how long a first token took against its estimate. */
+    /** Records the observed time to a first token together with its estimate. */
     public synchronized void recordFirstToken(EndpointId endpoint, double estimateMillis, double observedMillis) {
         if (!(estimateMillis > 0) || !(observedMillis >= 0)) {
             return;
         }
-        Knowledge knowledge = knowledge(endpoint);
+        TrackedEndpoint tracked = tracked(endpoint);
         double ratio = Math.min(MAX_DELAY_RATIO, observedMillis / estimateMillis);
-        double present = knowledge.delayRatio(clock.monotonicMillis());
-        knowledge.delayRatio = present + DELAY_GAIN * (ratio - present);
-        knowledge.delayMillis = clock.monotonicMillis();
+        double current = tracked.delayRatio(clock.monotonicMillis());
+        tracked.delayRatio = current + DELAY_SMOOTHING * (ratio - current);
+        tracked.delayUpdatedMillis = clock.monotonicMillis();
     }
 
-    /** Notes that a request sent to the endpoint is over, however it ended. */
+    /** Records that a request sent to the endpoint has ended, successfully or not. */
     public synchronized void recordFinished(EndpointId endpoint) {
-        Knowledge knowledge = knowledge(endpoint);
-        knowledge.outstandingRequests = Math.max(0, knowledge.outstandingRequests - 1);
+        TrackedEndpoint tracked = tracked(endpoint);
+        tracked.outstandingRequests = Math.max(0, tracked.outstandingRequests - 1);
     }
 
-    /** Drops what is known of an endpoint that has left. */
+    /** Removes the state of an endpoint that no longer exists. */
     public synchronized void forget(EndpointId endpoint) {
         endpoints.remove(endpoint);
     }
 
-    /** Returns what is known of the endpoint; its report is {@link LoadReport#unknown} where it has sent none. */
+    /** Returns the state of the endpoint, with {@link LoadReport#unknown} as its report if it has sent none. */
     public synchronized EndpointState state(EndpointId endpoint, FailureDomain failureDomain, long prefixHitTokens) {
-        Knowledge knowledge = knowledge(endpoint);
+        TrackedEndpoint tracked = tracked(endpoint);
         long nowMillis = clock.monotonicMillis();
         return new EndpointState(
                 endpoint,
                 failureDomain,
-                knowledge.report,
-                nowMillis - knowledge.takenMillis,
-                knowledge.sends.stream().mapToLong(Send::workTokens).sum(),
-                knowledge.outstandingRequests,
+                tracked.report,
+                nowMillis - tracked.reportMillis,
+                tracked.sends.stream().mapToLong(Send::workTokens).sum(),
+                tracked.outstandingRequests,
                 prefixHitTokens,
-                knowledge.delayRatio(nowMillis));
+                tracked.delayRatio(nowMillis));
     }
 
-    private Knowledge knowledge(EndpointId endpoint) {
-        return endpoints.computeIfAbsent(endpoint, key -> new Knowledge(clock.monotonicMillis()));
+    private TrackedEndpoint tracked(EndpointId endpoint) {
+        return endpoints.computeIfAbsent(endpoint, key -> new TrackedEndpoint(clock.monotonicMillis()));
     }
 
     private record Send(long sentMillis, long workTokens) {}
 
-    private static final class Knowledge {
+    private static final class TrackedEndpoint {
         private final ArrayDeque<Send> sends = new ArrayDeque<>();
         private LoadReport report = LoadReport.unknown();
         private boolean hasReport;
-        private long takenMillis;
+        private long reportMillis;
         private int outstandingRequests;
         private double delayRatio = 1;
-        private long delayMillis;
+        private long delayUpdatedMillis;
 
-        private Knowledge(long nowMillis) {
-            this.takenMillis = nowMillis;
-            this.delayMillis = nowMillis;
+        private TrackedEndpoint(long nowMillis) {
+            this.reportMillis = nowMillis;
+            this.delayUpdatedMillis = nowMillis;
         }
 
-        private void dropSendsUntil(long millis) {
-            for (Iterator<Send> i = sends.iterator(); i.hasNext() && i.next().sentMillis() <= millis; ) {
+        private void removeSendsUntil(long endMillis) {
+            for (Iterator<Send> i = sends.iterator(); i.hasNext() && i.next().sentMillis() <= endMillis; ) {
                 i.remove();
             }
         }
 
-        /** Returns the ratio as it has faded towards 1, so that an endpoint once slow is tried again. */
+        /** Returns the ratio, which decays towards 1 over time so that an endpoint that was slow is tried again. */
         private double delayRatio(long nowMillis) {
-            double kept = Math.pow(2, -(nowMillis - delayMillis) / DELAY_HALF_LIFE_MILLIS);
-            return 1 + (delayRatio - 1) * kept;
+            double decay = Math.pow(2, -(nowMillis - delayUpdatedMillis) / DELAY_HALF_LIFE_MILLIS);
+            return 1 + (delayRatio - 1) * decay;
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/routing/FirstTokenPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/routing/FirstTokenPolicy.java
@@ -8,24 +8,24 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Draws a few endpoints at random and takes the one with the shortest estimated time to the first token.
+ * Selects a few endpoints at random and chooses the one with the shortest estimated time to the first token.
  *
- * <p>The endpoint with the longest cached prefix is always among those compared. Drawing only a few keeps entry
- * instances that see the same old report from choosing the same endpoint.
+ * <p>The endpoint with the longest cached prefix is always compared as well. Sampling only a few endpoints prevents
+ * entry instances that see the same outdated report from all choosing the same endpoint.
  *
  * <pre>{@code
  * EndpointPolicy policy = new FirstTokenPolicy(estimate, 3, random);
  * Optional<EndpointChoice> choice = policy.choose(request, states);
  * }</pre>
  *
- * <p>Safe for use by several threads if its random generator is.
+ * <p>Thread-safe if the random generator is.
  */
 public final class FirstTokenPolicy implements EndpointPolicy {
     private final FirstTokenEstimate estimate;
     private final int sampleSize;
     private final EndpointSampler sampler;
 
-    /** Creates a policy that draws {@code sampleSize} endpoints, at least 1. */
+    /** Creates a policy that samples {@code sampleSize} endpoints, at least 1. */
     public FirstTokenPolicy(FirstTokenEstimate estimate, int sampleSize, RandomGenerator random) {
         this.estimate = estimate;
         this.sampleSize = (int) Checks.positive("sampleSize", sampleSize);
--- a/core/src/main/java/org/jasminehub/core/routing/FleetMedian.java
+++ b/core/src/main/java/org/jasminehub/core/routing/FleetMedian.java
@@ -4,15 +4,15 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The middle of what the candidates report, which stands in for what one of them does not report.
+ * Medians over all candidate endpoints, used in place of missing or outdated reports.
  *
- * @param stepMillis the time for one step
- * @param prefillTokensPerSecond how fast prompts are read
- * @param queuedTokens tokens of work that wait
- * @param capacityRequests requests that can run at a time
- * @param occupancy the share of running requests in those that can run
- * @param outstandingRequests requests of this entry instance that an endpoint has not finished
- * @param delayRatio how long first tokens took, relative to their estimates
+ * @param stepMillis the duration of one step
+ * @param prefillTokensPerSecond the number of prompt tokens processed per second
+ * @param queuedTokens the tokens of work in the queue
+ * @param capacityRequests the number of requests that can run concurrently
+ * @param occupancy the running requests as a share of the capacity
+ * @param outstandingRequests the number of unfinished requests of this entry instance
+ * @param delayRatio the recent time to the first token relative to its estimate
  */
 record FleetMedian(
         double stepMillis,
@@ -26,21 +26,22 @@
     private static final double DEFAULT_PREFILL_TOKENS_PER_SECOND = 10_000;
 
     static FleetMedian of(List<EndpointState> states) {
-        List<EndpointState> known =
+        List<EndpointState> reported =
                 states.stream().filter(FleetMedian::isUsable).toList();
         return new FleetMedian(
-                median(known, state -> state.load().stepMillis(), DEFAULT_STEP_MILLIS),
-                median(known, state -> state.load().prefillTokensPerSecond(), DEFAULT_PREFILL_TOKENS_PER_SECOND),
-                median(known, state -> state.load().queuedTokens(), 0),
-                median(known, state -> state.load().capacityRequests(), 1),
-                median(known, FleetMedian::occupancy, 0),
+                median(reported, state -> state.load().stepMillis(), DEFAULT_STEP_MILLIS),
+                median(reported, state -> state.load().prefillTokensPerSecond(), DEFAULT_PREFILL_TOKENS_PER_SECOND),
+                median(reported, state -> state.load().queuedTokens(), 0),
+                median(reported, state -> state.load().capacityRequests(), 1),
+                median(reported, FleetMedian::occupancy, 0),
                 median(states, EndpointState::outstandingRequests, 0),
-                median(known, EndpointState::delayRatio, 1));
+                median(reported, EndpointState::delayRatio, 1));
     }
 
-    /** Tells whether the endpoint's report holds figures that an engine can have. */
+    /** Returns whether the report of the endpoint contains values that are possible for an engine. */
     static boolean isUsable(EndpointState state) {
-        return isRate(state.load().stepMillis()) && isRate(state.load().prefillTokensPerSecond());
+        return isPositiveFinite(state.load().stepMillis())
+                && isPositiveFinite(state.load().prefillTokensPerSecond());
     }
 
     static double occupancy(EndpointState state) {
@@ -48,12 +49,13 @@
         return (double) running / Math.max(1, state.load().capacityRequests());
     }
 
-    private static boolean isRate(double value) {
+    private static boolean isPositiveFinite(double value) {
         return value > 0 && value < Double.POSITIVE_INFINITY;
     }
 
-    private static double median(List<EndpointState> states, ToDoubleFunction<EndpointState> figure, double otherwise) {
-        double[] sorted = states.stream().mapToDouble(figure).sorted().toArray();
-        return sorted.length == 0 ? otherwise : sorted[sorted.length / 2];
+    private static double median(
+            List<EndpointState> states, ToDoubleFunction<EndpointState> property, double defaultValue) {
+        double[] sorted = states.stream().mapToDouble(property).sorted().toArray();
+        return sorted.length == 0 ? defaultValue : sorted[sorted.length / 2];
     }
 }
--- a/core/src/main/java/org/jasminehub/core/routing/LeastOutstandingPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/routing/LeastOutstandingPolicy.java
@@ -4,7 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Takes the endpoint with the fewest unfinished requests of this entry instance; a baseline. Immutable. */
+/**
+ * Chooses the endpoint with the fewest unfinished requests of this entry instance.
+ *
+ * <p>Serves as a baseline for comparison. Immutable.
+ */
 public final class LeastOutstandingPolicy implements EndpointPolicy {
     @Override
     public Optional<EndpointChoice> choose(RoutingRequest request, List<EndpointState> candidates) {
--- a/core/src/main/java/org/jasminehub/core/routing/LoadReport.java
+++ b/core/src/main/java/org/jasminehub/core/routing/LoadReport.java
@@ -3,14 +3,14 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What an agent reports of its endpoint.
+ * The load of an endpoint as reported by its agent.
  *
- * @param queuedTokens tokens of work that wait for admission
- * @param runningRequests requests that run
- * @param capacityRequests requests that can run at a time
- * @param stepMillis the group's present time for one step
- * @param prefillTokensPerSecond how fast prompts are read
- * @param accepting whether it takes new work
+ * @param queuedTokens the tokens of work that wait for admission
+ * @param runningRequests the number of running requests
+ * @param capacityRequests the number of requests that can run concurrently
+ * @param stepMillis the current duration of one step of the group
+ * @param prefillTokensPerSecond the number of prompt tokens processed per second
+ * @param accepting whether the endpoint accepts new work
  */
 public record LoadReport(
         long queuedTokens,
@@ -19,7 +19,7 @@
         double stepMillis,
         double prefillTokensPerSecond,
         boolean accepting) {
-    /** Creates a checked report. */
+    /** Creates a report; numbers must not be negative. */
     public LoadReport {
         Checks.notNegative("queuedTokens", queuedTokens);
         Checks.notNegative("runningRequests", runningRequests);
@@ -28,7 +28,7 @@
         Checks.notNegative("prefillTokensPerSecond", (long) prefillTokensPerSecond);
     }
 
-    /** Returns the report assumed of an endpoint that has sent none. */
+    /** Returns the report assumed for an endpoint that has not sent one. */
     public static LoadReport unknown() {
         return new LoadReport(0, 0, 1, 0, 0, true);
     }
--- a/core/src/main/java/org/jasminehub/core/routing/PowerOfTwoPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/routing/PowerOfTwoPolicy.java
@@ -6,9 +6,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws two endpoints at random and takes the one that reported less load; a baseline.
+ * Selects two endpoints at random and chooses the one that reported less load.
  *
- * <p>Safe for use by several threads if its random generator is.
+ * <p>Serves as a baseline for comparison. Thread-safe if the random generator is.
  */
 public final class PowerOfTwoPolicy implements EndpointPolicy {
     private static final int SAMPLE_SIZE = 2;
--- a/core/src/main/java/org/jasminehub/core/routing/PrefixHints.java
+++ b/core/src/main/java/org/jasminehub/core/routing/PrefixHints.java
@@ -8,33 +8,33 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Remembers which beginnings of prompts each endpoint probably has in its prefix cache.
+ * Tracks which prompt prefixes each endpoint probably holds in its prefix cache.
  *
- * <p>A hint fades with its age, since evictions come late or not at all. What the engine says of an answer's real hits
- * corrects how far its hints are trusted, and a gap in its events halves that trust.
+ * <p>The weight of a hint decays with age, since eviction events arrive late or not at all. The cache hits that an
+ * engine reports for its answers adjust the trust in the hints of its endpoint. A gap in its events halves that trust.
  *
  * <pre>{@code
  * hints.recordPrompt(endpoint, prefix);
  * long tokens = hints.expectedTokens(endpoint, prefix);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class PrefixHints {
-    private static final double TRUST_GAIN = 0.2;
+    private static final double TRUST_SMOOTHING = 0.2;
     private static final double MIN_TRUST = 0.05;
 
     private final Clock clock;
     private final double halfLifeMillis;
     private final int maxHintsPerEndpoint;
-    private final Map<EndpointId, Cache> caches = new HashMap<>();
+    private final Map<EndpointId, EndpointHints> hintsByEndpoint = new HashMap<>();
 
     /**
      * Creates a table without hints.
      *
-     * @param clock tells the hints' age
-     * @param halfLifeMillis after what age a hint counts half
-     * @param maxHintsPerEndpoint how many beginnings are kept for an endpoint; the least used go first
+     * @param clock the clock for the age of hints
+     * @param halfLifeMillis the age at which a hint has half its weight
+     * @param maxHintsPerEndpoint the number of prefixes kept per endpoint; the least recently used are removed first
      */
     public PrefixHints(Clock clock, double halfLifeMillis, int maxHintsPerEndpoint) {
         this.clock = clock;
@@ -42,69 +42,69 @@
         this.maxHintsPerEndpoint = (int) Checks.positive("maxHintsPerEndpoint", maxHintsPerEndpoint);
     }
 
-    /** Notes that the endpoint was sent a prompt with this beginning. */
+    /** Records that a prompt with this prefix was sent to the endpoint. */
     public synchronized void recordPrompt(EndpointId endpoint, PromptPrefix prefix) {
         for (PromptPrefix.Block block : prefix.blocks()) {
-            cache(endpoint).hints.put(block.hash(), clock.monotonicMillis());
+            hintsOf(endpoint).hints.put(block.hash(), clock.monotonicMillis());
         }
     }
 
-    /** Takes a cache event about the beginning with this hash; one older than the hint is ignored. */
+    /** Applies a cache event to the hint for its prefix; an event older than the hint is ignored. */
     public synchronized void recordEvent(PrefixEvent event) {
-        Cache cache = cache(event.endpoint());
-        cache.noteSequence(event.sequence());
-        long occurredMillis = clock.monotonicMillis() - event.ageMillis();
-        Long knownMillis = cache.hints.get(event.hash());
-        if (knownMillis != null && knownMillis > occurredMillis) {
+        EndpointHints known = hintsOf(event.endpoint());
+        known.recordSequence(event.sequence());
+        long eventMillis = clock.monotonicMillis() - event.ageMillis();
+        Long hintMillis = known.hints.get(event.hash());
+        if (hintMillis != null && hintMillis > eventMillis) {
             return;
         }
         if (event.cached()) {
-            cache.hints.put(event.hash(), occurredMillis);
+            known.hints.put(event.hash(), eventMillis);
         } else {
-            cache.hints.remove(event.hash());
+            known.hints.remove(event.hash());
         }
     }
 
-    /** Takes from the engine's report of an answer how many tokens were really found in its cache. */
+    /** Records how many tokens the engine actually found in its cache, as reported with an answer. */
     public synchronized void recordHit(EndpointId endpoint, PromptPrefix prefix, long expectedTokens, long hitTokens) {
-        Cache cache = cache(endpoint);
+        EndpointHints known = hintsOf(endpoint);
         if (expectedTokens > 0) {
             double ratio = Math.min(1, (double) hitTokens / expectedTokens);
-            cache.trust = Math.max(MIN_TRUST, cache.trust + TRUST_GAIN * (ratio - cache.trust));
+            known.trust = Math.max(MIN_TRUST, known.trust + TRUST_SMOOTHING * (ratio - known.trust));
         }
         for (PromptPrefix.Block block : prefix.blocks()) {
-            cache.hints.put(block.hash(), clock.monotonicMillis());
+            known.hints.put(block.hash(), clock.monotonicMillis());
         }
     }
 
-    /** Drops the hints of an endpoint that has left or restarted. */
+    /** Removes the hints of an endpoint that was removed or restarted. */
     public synchronized void forget(EndpointId endpoint) {
-        caches.remove(endpoint);
+        hintsByEndpoint.remove(endpoint);
     }
 
-    /** Returns how many tokens of the prompt the endpoint probably has in its cache. */
+    /** Returns the expected number of prompt tokens in the cache of the endpoint. */
     public synchronized long expectedTokens(EndpointId endpoint, PromptPrefix prefix) {
-        Cache cache = caches.get(endpoint);
-        if (cache == null) {
+        EndpointHints known = hintsByEndpoint.get(endpoint);
+        if (known == null) {
             return 0;
         }
         double best = 0;
         for (PromptPrefix.Block block : prefix.blocks()) {
-            best = Math.max(best, block.tokens() * cache.likelihood(block.hash()));
+            best = Math.max(best, block.tokens() * known.likelihood(block.hash()));
         }
         return (long) best;
     }
 
-    private Cache cache(EndpointId endpoint) {
-        return caches.computeIfAbsent(endpoint, key -> new Cache());
+    private EndpointHints hintsOf(EndpointId endpoint) {
+        return hintsByEndpoint.computeIfAbsent(endpoint, key -> new EndpointHints());
     }
 
-    private final class Cache {
+    private final class EndpointHints {
         private static final int INITIAL_ENTRIES = 64;
         private static final float LOAD_FACTOR = 0.75f;
-        private static final boolean BY_ACCESS = true;
+        private static final boolean ACCESS_ORDER = true;
 
-        private final Map<Long, Long> hints = new LinkedHashMap<>(INITIAL_ENTRIES, LOAD_FACTOR, BY_ACCESS) {
+        private final Map<Long, Long> hints = new LinkedHashMap<>(INITIAL_ENTRIES, LOAD_FACTOR, ACCESS_ORDER) {
             private static final long serialVersionUID = 1L;
 
             @Override
@@ -115,7 +115,7 @@
         private double trust = 1;
         private long nextSequence = -1;
 
-        private void noteSequence(long sequence) {
+        private void recordSequence(long sequence) {
             boolean isGap = nextSequence >= 0 && sequence > nextSequence;
             if (isGap) {
                 trust = Math.max(MIN_TRUST, trust / 2);
@@ -124,11 +124,11 @@
         }
 
         private double likelihood(long hash) {
-            Long seenMillis = hints.get(hash);
-            if (seenMillis == null) {
+            Long hintMillis = hints.get(hash);
+            if (hintMillis == null) {
                 return 0;
             }
-            return trust * Math.pow(2, -(clock.monotonicMillis() - seenMillis) / halfLifeMillis);
+            return trust * Math.pow(2, -(clock.monotonicMillis() - hintMillis) / halfLifeMillis);
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/routing/PromptPrefix.java
+++ b/core/src/main/java/org/jasminehub/core/routing/PromptPrefix.java
@@ -9,42 +9,42 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The beginnings of a prompt, shortest first, as caches may hold them.
+ * The prefixes of a prompt that a prefix cache may hold, shortest first.
  *
- * @param blocks one beginning each, with growing numbers of tokens
+ * @param blocks the prefixes, each one block longer than the one before it
  */
 public record PromptPrefix(List<Block> blocks) {
-    /** How many characters of a prompt make up one block. */
+    /** The number of characters in a block. */
     public static final int BLOCK_CHARS = 1024;
-    /** How many blocks are told apart; a longer common beginning gains nothing more. */
+    /** The largest number of blocks considered; a longer common prefix brings no further benefit. */
     public static final int MAX_BLOCKS = 16;
 
     private static final int CHARS_PER_TOKEN = 4;
 
     /**
-     * One beginning of a prompt.
+     * A prefix that ends at a block boundary.
      *
-     * @param hash the hash of the whole beginning
-     * @param tokens how many tokens it has
+     * @param hash the hash of the complete prefix
+     * @param tokens the estimated number of tokens in the prefix
      */
     public record Block(long hash, long tokens) {
-        /** Creates a checked block. */
+        /** Creates a block; {@code tokens} must be positive. */
         public Block {
             Checks.positive("tokens", tokens);
         }
     }
 
-    /** Creates a prefix. */
+    /** Creates a list of prefixes. */
     public PromptPrefix {
         blocks = List.copyOf(blocks);
     }
 
-    /** Returns a prompt without a beginning that anyone shares. */
+    /** Returns an empty list of prefixes, for a prompt that shares none with other prompts. */
     public static PromptPrefix none() {
         return new PromptPrefix(List.of());
     }
 
-    /** Returns the beginnings of a prompt's text in whole blocks. */
+    /** Returns the prefixes of a prompt that consist of complete blocks. */
     public static PromptPrefix ofText(String prompt) {
         List<Block> blocks = new ArrayList<>();
         long previousHash = 0;
--- a/core/src/main/java/org/jasminehub/core/routing/RoundRobinPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/routing/RoundRobinPolicy.java
@@ -4,7 +4,11 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Takes accepting endpoints in turn; a baseline. Safe for use by several threads. */
+/**
+ * Chooses the endpoints that accept work in turn.
+ *
+ * <p>Serves as a baseline for comparison. Thread-safe.
+ */
 public final class RoundRobinPolicy implements EndpointPolicy {
     private final AtomicLong next = new AtomicLong();
 
--- a/core/src/main/java/org/jasminehub/core/routing/RoutingRequest.java
+++ b/core/src/main/java/org/jasminehub/core/routing/RoutingRequest.java
@@ -4,13 +4,13 @@
 import org.jasminehub.core.identity.FailureDomain;
 
 /**
- * What the choice of an endpoint depends on.
+ * The properties of a request that the choice of its endpoint depends on.
  *
- * @param origin the failure domain of the entry instance that asks
- * @param promptTokens the prompt's estimated length
- * @param maxAnswerTokens the most tokens the answer may have
- * @param priority which work goes first
- * @param remainingMillis how long until the deadline
+ * @param origin the failure domain of the entry instance that routes the request
+ * @param promptTokens the estimated length of the prompt
+ * @param maxAnswerTokens the maximum length of the answer
+ * @param priority the priority of the request
+ * @param remainingMillis the time left until the deadline
  */
 public record RoutingRequest(
         FailureDomain origin, long promptTokens, long maxAnswerTokens, Priority priority, long remainingMillis) {}
--- a/core/src/main/java/org/jasminehub/core/routing/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** The choice of an endpoint for a request. */
+/** Policies that choose the endpoint for a request, and the state they are based on. */
 @NullMarked
 package org.jasminehub.core.routing;
 
--- a/core/src/main/java/org/jasminehub/core/serving/CallKind.java
+++ b/core/src/main/java/org/jasminehub/core/serving/CallKind.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.serving;
 
-/** What a repeat of a call would do. */
+/** The effect of running a call more than once. */
 public enum CallKind {
-    /** A repeat is harmless. */
+    /** The call may safely run more than once. */
     SAFE,
-    /** A repeat would have an effect of its own, so the call runs at most once. */
+    /** A second run would have a second effect, so the call must run at most once. */
     UNSAFE,
-    /** The answer is a stream of numbered events. */
+    /** The response is a stream of numbered events. */
     STREAMING
 }
--- a/core/src/main/java/org/jasminehub/core/serving/EndpointRecord.java
+++ b/core/src/main/java/org/jasminehub/core/serving/EndpointRecord.java
@@ -6,17 +6,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an endpoint last registered about itself.
+ * The latest registration of an endpoint.
  *
- * @param id its name, new with most starts
- * @param startedWallMillis when it started; another start under the same name is another endpoint
- * @param service the service it belongs to
- * @param host its IP address
- * @param port its port
- * @param domain its failure domain
- * @param slots requests that it runs at once
- * @param isDraining whether it takes no more work soon
- * @param seat its place in a group, null outside groups
+ * @param id the name of the endpoint; most restarts assign a new one
+ * @param startedWallMillis when the endpoint started, by the wall clock; a restart under the same id counts as a
+ *     different endpoint
+ * @param service the service that the endpoint belongs to
+ * @param host the IP address of the endpoint
+ * @param port the port of the endpoint
+ * @param domain the failure domain of the endpoint
+ * @param slots the number of requests that the endpoint can run concurrently
+ * @param isDraining whether the endpoint is shutting down and accepts no new work
+ * @param seat the endpoint's membership of a group, null if it belongs to none
  */
 public record EndpointRecord(
         EndpointId id,
@@ -36,7 +37,7 @@
         Checks.positive("slots", slots);
     }
 
-    /** Returns whether both are the same start of the same endpoint. */
+    /** Returns whether both records describe the same run of the same endpoint. */
     public boolean isSameIncarnation(EndpointRecord other) {
         return id.equals(other.id) && startedWallMillis == other.startedWallMillis;
     }
--- a/core/src/main/java/org/jasminehub/core/serving/EngineProfile.java
+++ b/core/src/main/java/org/jasminehub/core/serving/EngineProfile.java
@@ -3,17 +3,17 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * How fast a service's model engines work, as the platform's configuration states it.
+ * The performance of a service's model engines, as given in the platform's configuration.
  *
- * @param slots how many requests an engine runs at once
- * @param kvCapacityTokens tokens that an engine's memory holds
- * @param stepsPerPass token steps in one pass of a group
- * @param stepMillis the fixed time of one step
- * @param stepMillisPerRequest what each running request adds to a step
- * @param prefillTokensPerMilli prompt tokens read in a millisecond
+ * @param slots the number of requests that an engine runs concurrently
+ * @param kvCapacityTokens the number of tokens that fit into an engine's key-value cache
+ * @param stepsPerPass the number of token steps in one pass of a group
+ * @param stepMillis the fixed duration of one step
+ * @param stepMillisPerRequest the time that each running request adds to a step
+ * @param prefillTokensPerMilli the number of prompt tokens processed per millisecond
  * @param usualPromptTokens the mean length of a prompt
  * @param usualAnswerTokens the mean length of an answer
- * @param experts how experts are placed, or {@link ExpertLayout#NONE}
+ * @param experts the layout of experts, or {@link ExpertLayout#NONE}
  */
 public record EngineProfile(
         int slots,
--- a/core/src/main/java/org/jasminehub/core/serving/ExpertLayout.java
+++ b/core/src/main/java/org/jasminehub/core/serving/ExpertLayout.java
@@ -3,21 +3,21 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * How many experts a group places and where.
+ * The number of experts in a group and the capacity of its ranks for them.
  *
- * @param layers sets of layers that are placed independently
- * @param experts experts in each
- * @param placesPerRank experts that a rank holds in each
- * @param sparePlaces experts that may be new to a rank in one change, in each
- * @param copyMillis how long a rank copies one expert that is new to it
- * @param workShare the part of token work that experts do
+ * @param layers the number of sets of layers whose experts are placed independently
+ * @param experts the number of experts in each set
+ * @param placesPerRank the number of experts that a rank holds in each set
+ * @param sparePlaces the number of experts that a rank can load in one change, in each set
+ * @param copyMillis how long a rank takes to copy one expert that it does not hold yet
+ * @param workShare the share of the work per token that is done by experts
  */
 public record ExpertLayout(
         int layers, int experts, int placesPerRank, int sparePlaces, double copyMillis, double workShare) {
-    /** The layout of an engine without experts that can be placed. */
+    /** The layout of an engine that has no experts to place. */
     public static final ExpertLayout NONE = new ExpertLayout(0, 0, 0, 0, 0, 0);
 
-    /** Creates a layout; no figure may be negative. */
+    /** Creates a layout; the counts must not be negative. */
     public ExpertLayout {
         Checks.notNegative("layers", layers);
         Checks.notNegative("experts", experts);
@@ -25,7 +25,7 @@
         Checks.notNegative("sparePlaces", sparePlaces);
     }
 
-    /** Returns whether experts can be placed. */
+    /** Returns whether the engine has experts to place. */
     public boolean isPlaceable() {
         return layers > 0 && experts > 0 && placesPerRank > 0;
     }
--- a/core/src/main/java/org/jasminehub/core/serving/Route.java
+++ b/core/src/main/java/org/jasminehub/core/serving/Route.java
@@ -4,20 +4,20 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * One route of the configuration.
+ * A route of the gateway configuration.
  *
- * @param name its name, for log lines
- * @param host the host header it answers to, in lower case
- * @param pathPrefix the start of the paths it takes, with a slash at each end
- * @param kind what may be repeated
- * @param timeoutMillis how long a call may be kept waiting
- * @param targetLatencyMillis within which an answer is on time; for streams, the first event
- * @param maxPauseMillis the longest pause between two events that is still on time, 0 where there is no such bound
- * @param priority its rank, 0 first
- * @param services where its calls go
- * @param maxAttempts how many endpoints one call may be sent to
+ * @param name the name used in log lines
+ * @param host the value of the host header that the route matches, in lower case
+ * @param pathPrefix the prefix of the paths that the route matches, starting and ending with a slash
+ * @param kind whether and how calls may be retried
+ * @param timeoutMillis the longest time that a call may take, counted from its arrival
+ * @param targetLatencyMillis the target time to the response or, for streams, to the first event
+ * @param maxPauseMillis the longest acceptable gap between two events of a stream, 0 for no bound
+ * @param priority the priority of calls, 0 being the highest
+ * @param services the services that receive the calls, with their weights
+ * @param maxAttempts the number of endpoints that may run one call
  * @param isPublic whether calls need no key
- * @param isResumable whether a cut stream may go on at another endpoint
+ * @param isResumable whether an interrupted stream may be continued by another endpoint
  */
 public record Route(
         String name,
@@ -43,23 +43,23 @@
         Checks.that(!services.isEmpty(), "services of route " + name, services, "at least one service");
     }
 
-    /** Returns whether a call may run a second time after a first run was cut or lost. */
-    public boolean mayRepeat() {
+    /** Returns whether a call may run again after a run that was interrupted or whose result was lost. */
+    public boolean mayRetry() {
         return kind == CallKind.SAFE || (kind == CallKind.STREAMING && isResumable);
     }
 
     /**
-     * Returns the service that takes a call, by weight.
+     * Selects a service for a call by weight.
      *
-     * @param position where the call falls in the sum of weights, from 0 (included) to 1 (excluded)
+     * @param position the position of the call within the sum of weights, from 0 (inclusive) to 1 (exclusive)
      */
     public String serviceAt(double position) {
         double total = services.stream().mapToDouble(WeightedService::weight).sum();
-        double rest = position * total;
-        for (WeightedService part : services) {
-            rest -= part.weight();
-            if (rest < 0) {
-                return part.service();
+        double remaining = position * total;
+        for (WeightedService candidate : services) {
+            remaining -= candidate.weight();
+            if (remaining < 0) {
+                return candidate.service();
             }
         }
         return services.get(services.size() - 1).service();
--- a/core/src/main/java/org/jasminehub/core/serving/RouteTable.java
+++ b/core/src/main/java/org/jasminehub/core/serving/RouteTable.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration: routes, services, keys and limits. Immutable.
+ * One version of the gateway configuration: routes, services, keys and limits. Immutable.
  *
  * <pre>{@code
  * Optional<Route> route = table.match("text.example", "/drafts/7");
@@ -26,7 +26,7 @@
     /**
      * Creates a table.
      *
-     * @param grants what each key stands for
+     * @param grants the workspace and priority granted by each key
      * @param needsKeys whether calls on routes that are not public need a key
      */
     public RouteTable(
@@ -37,14 +37,14 @@
             boolean needsKeys,
             CallerLimits limits) {
         this.version = version;
-        this.routesByHost = byHost(routes);
+        this.routesByHost = groupByHost(routes);
         this.services = Map.copyOf(services);
         this.grants = Map.copyOf(grants);
         this.needsKeys = needsKeys;
         this.limits = limits;
     }
 
-    private static Map<String, List<Route>> byHost(List<Route> routes) {
+    private static Map<String, List<Route>> groupByHost(List<Route> routes) {
         Map<String, List<Route>> result = new HashMap<>();
         for (Route route : routes) {
             result.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route);
@@ -52,11 +52,11 @@
         Comparator<Route> longestFirst = Comparator.comparingInt(
                         (Route route) -> route.pathPrefix().length())
                 .reversed();
-        result.values().forEach(ofHost -> ofHost.sort(longestFirst));
+        result.values().forEach(routesOfHost -> routesOfHost.sort(longestFirst));
         return result;
     }
 
-    /** Returns the version, which only grows. */
+    /** Returns the version, which only increases. */
     public long version() {
         return version;
     }
@@ -76,15 +76,15 @@
         return needsKeys;
     }
 
-    /** Returns what {@code key} stands for, empty where no workspace holds it. */
+    /** Returns the grant of {@code key}, or empty if no workspace owns the key. */
     public Optional<WorkspaceGrant> grant(String key) {
         return Optional.ofNullable(grants.get(key));
     }
 
-    /** Returns the route of {@code host} with the longest prefix of {@code path}; the host's case does not matter. */
+    /** Returns the route of {@code host} with the longest matching prefix of {@code path}; host names ignore case. */
     public Optional<Route> match(String host, String path) {
-        List<Route> ofHost = routesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
-        return ofHost.stream()
+        List<Route> routesOfHost = routesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
+        return routesOfHost.stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
                 .findFirst();
     }
--- a/core/src/main/java/org/jasminehub/core/serving/ServiceProfile.java
+++ b/core/src/main/java/org/jasminehub/core/serving/ServiceProfile.java
@@ -4,11 +4,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One service of the configuration.
+ * A service of the gateway configuration.
  *
- * @param name its name
- * @param connectionLimit connections that one of its endpoints takes from all gateways together
- * @param engine how fast its model engines work, null for a plain service
+ * @param name the name of the service
+ * @param connectionLimit the number of connections that an endpoint of the service accepts from all gateways together
+ * @param engine the performance of the model engines, null for a service without engines
  */
 public record ServiceProfile(
         String name, int connectionLimit, @Nullable EngineProfile engine) {
--- a/core/src/main/java/org/jasminehub/core/serving/WorkspaceGrant.java
+++ b/core/src/main/java/org/jasminehub/core/serving/WorkspaceGrant.java
@@ -4,10 +4,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a key stands for.
+ * The workspace and priority that an access key grants.
  *
- * @param workspace the workspace that holds the key
- * @param priority the workspace's own rank, 0 first, null where the route's rank holds
+ * @param workspace the workspace that owns the key
+ * @param priority the priority of the workspace, 0 being the highest, or null to use the priority of the route
  */
 public record WorkspaceGrant(
         WorkspaceId workspace, @Nullable Integer priority) {}
--- a/core/src/main/java/org/jasminehub/core/serving/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/serving/package-info.java
@@ -1,4 +1,4 @@
-/** What a gateway serves: routes, workspaces, endpoints and engines, as immutable values. */
+/** Immutable values of the gateway configuration: routes, workspaces, endpoints and engines. */
 @NullMarked
 package org.jasminehub.core.serving;
 
--- a/core/src/main/java/org/jasminehub/core/stream/EventSplitter.java
+++ b/core/src/main/java/org/jasminehub/core/stream/EventSplitter.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts the bytes of a {@code text/event-stream} into whole events.
+ * Splits the bytes of a {@code text/event-stream} into complete events.
  *
  * <pre>{@code
  * for (StreamEvent event : splitter.take(bytes)) {
@@ -15,57 +15,58 @@
  * }
  * }</pre>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class EventSplitter {
     private static final String ID_FIELD = "id:";
 
-    private static final int FIRST_BYTES = 256;
+    private static final int INITIAL_BUFFER_BYTES = 256;
 
-    /** The bytes of the event that has begun. */
-    private byte[] event = new byte[FIRST_BYTES];
+    /** The bytes received so far of the current event, followed by unused space. */
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
     private int eventLength;
     private int lineStart;
     private @Nullable Long id;
 
-    /** Takes the next bytes and returns the events that they complete. */
+    /** Adds the next bytes and returns the events that they complete. */
     public List<StreamEvent> take(byte[] bytes) {
-        List<StreamEvent> whole = new ArrayList<>();
+        List<StreamEvent> completed = new ArrayList<>();
         for (byte value : bytes) {
             append(value);
             if (value != '\n') {
                 continue;
             }
-            String text = new String(event, lineStart, eventLength - lineStart, StandardCharsets.UTF_8).stripTrailing();
+            String line =
+                    new String(buffer, lineStart, eventLength - lineStart, StandardCharsets.UTF_8).stripTrailing();
             lineStart = eventLength;
-            if (text.startsWith(ID_FIELD)) {
-                id = number(text.substring(ID_FIELD.length()).trim());
+            if (line.startsWith(ID_FIELD)) {
+                id = parseId(line.substring(ID_FIELD.length()).trim());
             }
-            if (text.isEmpty()) {
-                whole.add(new StreamEvent(id, Arrays.copyOf(event, eventLength)));
+            if (line.isEmpty()) {
+                completed.add(new StreamEvent(id, Arrays.copyOf(buffer, eventLength)));
                 eventLength = 0;
                 lineStart = 0;
                 id = null;
             }
         }
-        return whole;
+        return completed;
     }
 
-    /** Returns whether bytes of an event have come whose end has not. */
-    public boolean isInsideEvent() {
+    /** Returns whether part of an event was received but not its end. */
+    public boolean hasPartialEvent() {
         return eventLength > 0;
     }
 
     private void append(byte value) {
-        if (eventLength == event.length) {
-            event = Arrays.copyOf(event, 2 * eventLength);
+        if (eventLength == buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * eventLength);
         }
-        event[eventLength] = value;
+        buffer[eventLength] = value;
         eventLength++;
     }
 
-    private static @Nullable Long number(String text) {
+    private static @Nullable Long parseId(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
--- a/core/src/main/java/org/jasminehub/core/stream/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/stream/package-info.java
@@ -1,4 +1,4 @@
-/** Streams of numbered events, cut into whole events. */
+/** Splits byte streams of server-sent events into complete events. */
 @NullMarked
 package org.jasminehub.core.stream;
 
--- a/core/src/test/java/org/jasminehub/core/admission/AdmissionControllerTest.java
+++ b/core/src/test/java/org/jasminehub/core/admission/AdmissionControllerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 final class AdmissionControllerTest {
-    /** Two places and 10 ms a step: 0.2 tokens of work a millisecond. */
+    /** Two requests at a time and 10 ms per step: 0.2 tokens of work per millisecond. */
     private static final EngineSpeed SPEED = new EngineSpeed(2, 10, 100_000);
 
     private final ManualClock clock = new ManualClock(0);
@@ -29,7 +29,7 @@
             new AdmissionController(clock, new AdmissionSettings(1000, 200, 30_000), SPEED, events::add);
     private long nextKey;
 
-    /** A request of 100 expected answer tokens, which takes one second. */
+    /** Creates a request with 100 expected answer tokens, which runs for one second. */
     private AdmissionRequest request(String workspace, Priority priority, long deadlineMillis) {
         return new AdmissionRequest(
                 nextKey++, new WorkspaceId(workspace), 1, priority, 0, 200, clock.monotonicMillis() + deadlineMillis);
@@ -53,24 +53,24 @@
     @Nested
     final class Deadlines {
         @Test
-        void testRequestThatFitsStartsAtOnce() {
+        void testRequestStartsImmediatelyIfCapacityIsFree() {
             assertInstanceOf(Started.class, offerOne("small", Priority.URGENT, 1001));
         }
 
         @Test
-        void testRequestThatCannotMeetItsDeadlineIsRefusedOnArrivalWithATimeToComeBack() {
+        void testRequestThatCannotMeetDeadlineIsRefusedOnArrivalWithRetryTime() {
             for (int i = 0; i < 6; i++) {
                 offer("large", Priority.URGENT, 60_000);
             }
             Refused refused = assertInstanceOf(Refused.class, offerOne("large", Priority.NORMAL, 2000));
             assertEquals(ErrorCode.DEADLINE_UNREACHABLE, refused.code());
-            // Four wait before it, each half a second of the two places; it had one second to spare.
+            // Four requests are ahead of it, each taking 500 ms of the total capacity; it could wait for 1000 ms.
             assertEquals(5 * 500 - 1000, refused.retryAfterMillis());
             assertEquals(1, events.size());
         }
 
         @Test
-        void testQueuedRequestIsRefusedWhenItsLatestStartPassesAndNotLater() {
+        void testQueuedRequestIsRefusedAsSoonAsLatestStartHasPassed() {
             fill("large", 2);
             assertInstanceOf(Queued.class, offerOne("small", Priority.NORMAL, 3000));
             clock.advanceMillis(2000);
@@ -83,7 +83,7 @@
         }
 
         @Test
-        void testSlowerStepRefusesWhatItMakesLateAtOnce() {
+        void testSlowerEngineRefusesRequestsThatBecomeLate() {
             fill("large", 2);
             offer("small", Priority.NORMAL, 2500);
             clock.advanceMillis(50);
@@ -92,7 +92,7 @@
         }
 
         @Test
-        void testCanceledRequestFreesItsPlace() {
+        void testCanceledRequestFreesCapacity() {
             fill("large", 3);
             assertInstanceOf(Started.class, controller.canceled(0).get(0));
         }
@@ -101,7 +101,7 @@
     @Nested
     final class Fairness {
         @Test
-        void testFullQueueMakesRoomForASmallWorkspaceByRefusingTheLargeOne() {
+        void testFullQueueRefusesWorkOfLargeWorkspaceInFavorOfSmallOne() {
             fill("large", 12);
             assertEquals(1000, controller.queuedTokens());
             List<AdmissionOutcome> outcomes = offer("small", Priority.NORMAL, 60_000);
@@ -112,7 +112,7 @@
         }
 
         @Test
-        void testRefusedCallersAreSpreadOverTimeAtTheSpeedOfTheQueue() {
+        void testRetryTimesAreSpreadAtDrainRate() {
             fill("large", 12);
             List<Long> retryAfterMillis = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -123,7 +123,7 @@
         }
 
         @Test
-        void testUrgentWorkGoesFirstButAFloodOfItDoesNotStarveOthers() {
+        void testUrgentWorkGoesFirstButDoesNotStarveOtherWorkspaces() {
             fill("filler", 2);
             long normalKey = nextKey;
             offer("small", Priority.NORMAL, 60_000);
@@ -131,9 +131,9 @@
                 offer("large", Priority.URGENT, 60_000);
             }
             List<Long> order = drain();
-            int place = order.indexOf(normalKey);
+            int position = order.indexOf(normalKey);
             // The head start of urgent work over normal work is 100 tokens: one request.
-            assertTrue(place >= 1 && place <= 2, "place " + place);
+            assertTrue(position >= 1 && position <= 2, "position " + position);
         }
 
         private List<Long> drain() {
@@ -157,7 +157,7 @@
         private final Map<Long, Long> endMillis = new HashMap<>();
         private final Map<String, Integer> inTime = new HashMap<>();
 
-        private void note(List<AdmissionOutcome> outcomes) {
+        private void recordOutcomes(List<AdmissionOutcome> outcomes) {
             for (AdmissionOutcome outcome : outcomes) {
                 if (outcome instanceof Started started) {
                     endMillis.put(started.request().key(), clock.monotonicMillis() + 1000);
@@ -176,18 +176,18 @@
                     .toList();
             for (long key : ended) {
                 endMillis.remove(key);
-                note(controller.finished(key, 100));
+                recordOutcomes(controller.finished(key, 100));
             }
-            note(controller.advance());
+            recordOutcomes(controller.advance());
         }
 
-        /** Offers a multiple of the capacity: the small workspace half its fair share, the large one the rest. */
+        /** Offers a multiple of the capacity: half its fair share by the small workspace, the rest by the large one. */
         private void run(int multiple) {
             int offersPerSecond = CAPACITY_PER_SECOND * multiple;
             for (int i = 0; i < SECONDS * offersPerSecond; i++) {
                 step(1000 / offersPerSecond);
                 boolean isSmall = i % (2 * multiple) == 0;
-                note(offer(isSmall ? "small" : "large", Priority.NORMAL, 4000));
+                recordOutcomes(offer(isSmall ? "small" : "large", Priority.NORMAL, 4000));
             }
         }
 
@@ -199,12 +199,12 @@
         }
 
         @Test
-        void testTwiceTheCapacityKeepsGoodputAndTheSmallWorkspace() {
+        void testGoodputAndFairnessAtTwiceTheCapacity() {
             assertGoodput(2);
         }
 
         @Test
-        void testFourTimesTheCapacityKeepsGoodputAndTheSmallWorkspace() {
+        void testGoodputAndFairnessAtFourTimesTheCapacity() {
             assertGoodput(4);
         }
     }
--- a/core/src/test/java/org/jasminehub/core/balance/WaitingLinePolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/balance/CallQueuePolicyTest.java
@@ -16,17 +16,16 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** A line of calls, replayed with a manual clock. */
-final class WaitingLinePolicyTest {
+final class CallQueuePolicyTest {
     private static final long LEFT_MILLIS = 300;
 
     private final ManualClock clock = new ManualClock(10_000);
-    private final WaitingLinePolicy policy = new WaitingLinePolicy(clock);
+    private final CallQueuePolicy policy = new CallQueuePolicy(clock);
 
     private void endCalls(int perSecond, long forMillis) {
-        long pauseMillis = 1_000 / perSecond;
-        for (long passed = 0; passed < forMillis; passed += pauseMillis) {
-            clock.advanceMillis(pauseMillis);
+        long intervalMillis = 1_000 / perSecond;
+        for (long elapsedMillis = 0; elapsedMillis < forMillis; elapsedMillis += intervalMillis) {
+            clock.advanceMillis(intervalMillis);
             policy.onEnded();
         }
     }
@@ -34,31 +33,31 @@
     @Nested
     final class Admission {
         @Test
-        void testACallWaitsWhereTheLineMovesInTime() {
+        void testCallMayWaitIfQueueDrainsInTime() {
             endCalls(10, 2_000);
 
             assertTrue(policy.mayWait(2, LEFT_MILLIS));
         }
 
         @Test
-        void testACallIsRefusedAtOnceWhereTheLineIsFarTooLong() {
+        void testCallIsRefusedIfQueueIsFarTooLong() {
             endCalls(10, 2_000);
 
             assertFalse(policy.mayWait(12, LEFT_MILLIS));
         }
 
         @Test
-        void testNothingWaitsWithNoTimeLeft() {
+        void testCallWithoutTimeLeftMayNotWait() {
             assertFalse(policy.mayWait(0, 0));
         }
 
         @Test
-        void testALineOfUnknownSpeedIsTried() {
+        void testCallMayWaitIfDrainRateIsUnknown() {
             assertTrue(policy.mayWait(5, LEFT_MILLIS));
         }
 
         @Test
-        void testOldEndingsAreForgotten() {
+        void testOldCompletionsExpire() {
             endCalls(1, 1_000);
             clock.advanceMillis(5_000);
 
@@ -67,40 +66,40 @@
     }
 
     @Nested
-    final class Return {
+    final class RetryTime {
         @Test
-        void testCallersComeBackWhenTheLineIsGone() {
+        void testRetryTimeIsExpectedDrainTime() {
             endCalls(10, 2_000);
 
-            assertEquals(2_000, policy.returnMillis(19, 0.5), 300);
+            assertEquals(2_000, policy.retryAfterMillis(19, 0.5), 300);
         }
 
         @Test
-        void testCallersThatAreRefusedTogetherComeBackApart() {
+        void testCallersRefusedTogetherGetDifferentRetryTimes() {
             endCalls(10, 2_000);
             Set<Long> times = new HashSet<>();
             for (int caller = 0; caller < 10; caller++) {
-                times.add(policy.returnMillis(10, caller / 10.0));
+                times.add(policy.retryAfterMillis(10, caller / 10.0));
             }
 
             assertEquals(10, times.size());
         }
 
         @Test
-        void testALongLineDoesNotSendCallersAwayForever() {
+        void testRetryTimeIsBounded() {
             endCalls(1, 1_000);
 
-            assertTrue(policy.returnMillis(500, 0.99) < 4_000);
+            assertTrue(policy.retryAfterMillis(500, 0.99) < 4_000);
         }
 
         @Test
-        void testAPositionOutsideTheSpreadIsRefused() {
-            assertThrows(InvalidArgumentException.class, () -> policy.returnMillis(1, 2));
+        void testPositionOutsideJitterRangeIsRejected() {
+            assertThrows(InvalidArgumentException.class, () -> policy.retryAfterMillis(1, 2));
         }
     }
 
     @Nested
-    final class Patience {
+    final class MaxWait {
         private static final long TIMEOUT_MILLIS = 8_000;
         private static final long TARGET_MILLIS = 500;
 
@@ -119,23 +118,23 @@
                 true);
 
         @Test
-        void testACallWaitsOnlyAsLongAsItCanStillBeInTime() {
-            assertFalse(WaitingLinePolicy.hasReturned(route, TIMEOUT_MILLIS));
-            assertTrue(WaitingLinePolicy.waitMillis(route, TIMEOUT_MILLIS) < TARGET_MILLIS);
+        void testFirstAttemptWaitsLessThanTargetLatency() {
+            assertFalse(CallQueuePolicy.isCallerRetry(route, TIMEOUT_MILLIS));
+            assertTrue(CallQueuePolicy.maxWaitMillis(route, TIMEOUT_MILLIS) < TARGET_MILLIS);
         }
 
         @Test
-        void testACallerThatCameBackWaitsLongerButNotForever() {
+        void testRetriedCallWaitsLongerButIsBounded() {
             long allowedMillis = 6_500;
 
-            assertTrue(WaitingLinePolicy.hasReturned(route, allowedMillis));
-            assertTrue(WaitingLinePolicy.waitMillis(route, allowedMillis) > TARGET_MILLIS);
-            assertTrue(WaitingLinePolicy.waitMillis(route, allowedMillis) < allowedMillis / 3);
+            assertTrue(CallQueuePolicy.isCallerRetry(route, allowedMillis));
+            assertTrue(CallQueuePolicy.maxWaitMillis(route, allowedMillis) > TARGET_MILLIS);
+            assertTrue(CallQueuePolicy.maxWaitMillis(route, allowedMillis) < allowedMillis / 3);
         }
 
         @Test
-        void testACallerWithLittleTimeLeftIsNotHeldForIt() {
-            assertTrue(WaitingLinePolicy.waitMillis(route, 400) <= 100);
+        void testWaitOfRetriedCallIsLimitedByItsAllowedTime() {
+            assertTrue(CallQueuePolicy.maxWaitMillis(route, 400) <= 100);
         }
     }
 }
--- a/core/src/test/java/org/jasminehub/core/balance/EndpointChoicePolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/balance/EndpointChoicePolicyTest.java
@@ -16,9 +16,8 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Where calls are placed. */
 final class EndpointChoicePolicyTest {
-    private static final FailureDomain HOME = new FailureDomain("a");
+    private static final FailureDomain LOCAL = new FailureDomain("a");
     private static final int SLOTS = 8;
 
     private final ManualClock clock = new ManualClock(0);
@@ -27,24 +26,24 @@
         List<EndpointRecord> result = new ArrayList<>();
         for (int index = 0; index < count; index++) {
             result.add(new EndpointRecord(
-                    new EndpointId("e-" + index), 1, "s", "10.0.0." + (index + 1), 80, HOME, SLOTS, false, null));
+                    new EndpointId("e-" + index), 1, "s", "10.0.0." + (index + 1), 80, LOCAL, SLOTS, false, null));
         }
         return result;
     }
 
     private EndpointChoicePolicy policy(EndpointLoads loads, int seed) {
-        return new EndpointChoicePolicy(loads, HOME, new SplittableRandom(seed));
+        return new EndpointChoicePolicy(loads, LOCAL, new SplittableRandom(seed));
     }
 
-    /** The load pattern: several instances place calls at once, each of them fewer than there are endpoints. */
+    /** Several instances send calls at the same time, each of them fewer calls than there are endpoints. */
     @Nested
     final class ManyInstances {
         private static final int INSTANCES = 6;
         private static final int ENDPOINTS = 12;
         private static final int CALLS = 24;
 
-        /** Places calls in turn and returns the most that one endpoint has got. */
-        private int mostLoaded(boolean tellEachOther) {
+        /** Lets the instances send calls in turn, and returns the largest number of calls at one endpoint. */
+        private int mostLoaded(boolean shareLoads) {
             List<EndpointRecord> all = endpoints(ENDPOINTS);
             List<EndpointLoads> loads = new ArrayList<>();
             Map<EndpointId, Integer> total = new HashMap<>();
@@ -58,7 +57,7 @@
                         .orElseThrow();
                 loads.get(instance).onSent(chosen.id());
                 total.merge(chosen.id(), 1, Integer::sum);
-                for (int peer = 0; tellEachOther && peer < INSTANCES; peer++) {
+                for (int peer = 0; shareLoads && peer < INSTANCES; peer++) {
                     if (peer != instance) {
                         loads.get(peer)
                                 .onPeerLoads(
@@ -70,17 +69,17 @@
         }
 
         @Test
-        void testWhatInstancesTellEachOtherSpreadsCallsEvenly() {
+        void testSharedOpenCallsSpreadCallsEvenly() {
             int fair = CALLS / ENDPOINTS;
 
             assertTrue(mostLoaded(true) <= fair, "most loaded: " + mostLoaded(true));
-            assertTrue(mostLoaded(false) > fair, "without words between instances: " + mostLoaded(false));
+            assertTrue(mostLoaded(false) > fair, "most loaded without shared loads: " + mostLoaded(false));
         }
     }
 
-    /** Endpoints that fail or are slow without leaving. */
+    /** Endpoints that fail or are slow but stay registered. */
     @Nested
-    final class BadEndpoints {
+    final class FaultyEndpoints {
         private final EndpointLoads loads = new EndpointLoads(clock);
 
         private EndpointId chosen(List<EndpointRecord> candidates) {
@@ -91,7 +90,7 @@
         }
 
         @Test
-        void testAFailingEndpointIsLeftAndComesBackByItself() {
+        void testFailedEndpointIsAvoidedUntilFailureDecays() {
             List<EndpointRecord> two = endpoints(2);
             loads.onFailure(two.get(0).id());
             assertEquals(two.get(1).id(), chosen(two));
@@ -103,9 +102,9 @@
         }
 
         @Test
-        void testAVerySlowEndpointGetsNothingWhileOthersHaveRoom() {
+        void testVerySlowEndpointReceivesNoCalls() {
             List<EndpointRecord> two = endpoints(2);
-            loads.onPaces(Map.of(two.get(0).id(), 12.0));
+            loads.onSlowdowns(Map.of(two.get(0).id(), 12.0));
             for (int call = 0; call < SLOTS; call++) {
                 assertEquals(two.get(1).id(), chosen(two));
                 loads.onSent(two.get(1).id());
@@ -115,7 +114,7 @@
         }
 
         @Test
-        void testAnEndpointThatFailedThisCallIsTakenOnlyWhereNoOtherIsLeft() {
+        void testAvoidedEndpointIsChosenOnlyIfNoOtherIsLeft() {
             List<EndpointRecord> two = endpoints(2);
 
             assertEquals(
--- a/core/src/test/java/org/jasminehub/core/balance/EndpointRosterTest.java
+++ b/core/src/test/java/org/jasminehub/core/balance/EndpointEligibilityTest.java
@@ -9,49 +9,48 @@
 import org.jasminehub.core.serving.EndpointRecord;
 import org.junit.jupiter.api.Test;
 
-/** Registrations of endpoints that were replaced. */
-final class EndpointRosterTest {
+final class EndpointEligibilityTest {
     private static EndpointRecord endpoint(String id, String service, int port, long started, boolean isDraining) {
         return new EndpointRecord(
                 new EndpointId(id), started, service, "10.0.0.1", port, new FailureDomain("a"), 8, isDraining, null);
     }
 
-    private static List<String> names(Map<String, List<EndpointRecord>> serving, String service) {
-        return serving.getOrDefault(service, List.of()).stream()
+    private static List<String> names(Map<String, List<EndpointRecord>> eligible, String service) {
+        return eligible.getOrDefault(service, List.of()).stream()
                 .map(endpoint -> endpoint.id().value())
                 .toList();
     }
 
     @Test
-    void testAnEndpointWhoseAddressAnotherTookLaterTakesNoCalls() {
-        Map<String, List<EndpointRecord>> serving = EndpointRoster.serving(
+    void testOlderEndpointAtSameAddressIsNotEligible() {
+        Map<String, List<EndpointRecord>> eligible = EndpointEligibility.serving(
                 List.of(endpoint("old", "s", 1, 100, false), endpoint("new", "s", 1, 200, false)));
 
-        assertEquals(List.of("new"), names(serving, "s"));
+        assertEquals(List.of("new"), names(eligible, "s"));
     }
 
     @Test
-    void testAnAddressThatAnotherServiceTookIsNotUsedForTheFirst() {
-        Map<String, List<EndpointRecord>> serving = EndpointRoster.serving(
+    void testOlderEndpointIsNotEligibleIfAnotherServiceReusesItsAddress() {
+        Map<String, List<EndpointRecord>> eligible = EndpointEligibility.serving(
                 List.of(endpoint("old", "s", 1, 100, false), endpoint("new", "t", 1, 200, false)));
 
-        assertEquals(List.of(), names(serving, "s"));
-        assertEquals(List.of("new"), names(serving, "t"));
+        assertEquals(List.of(), names(eligible, "s"));
+        assertEquals(List.of("new"), names(eligible, "t"));
     }
 
     @Test
-    void testADrainingEndpointStillOwnsItsAddress() {
-        Map<String, List<EndpointRecord>> serving = EndpointRoster.serving(
+    void testDrainingEndpointStillSupersedesOlderOneAtSameAddress() {
+        Map<String, List<EndpointRecord>> eligible = EndpointEligibility.serving(
                 List.of(endpoint("old", "s", 1, 100, false), endpoint("new", "s", 1, 200, true)));
 
-        assertEquals(List.of(), names(serving, "s"));
+        assertEquals(List.of(), names(eligible, "s"));
     }
 
     @Test
-    void testEndpointsAtDifferentAddressesAllServe() {
-        Map<String, List<EndpointRecord>> serving = EndpointRoster.serving(
+    void testEndpointsAtDifferentAddressesAreAllEligible() {
+        Map<String, List<EndpointRecord>> eligible = EndpointEligibility.serving(
                 List.of(endpoint("one", "s", 1, 100, false), endpoint("two", "s", 2, 200, false)));
 
-        assertEquals(List.of("one", "two"), names(serving, "s"));
+        assertEquals(List.of("one", "two"), names(eligible, "s"));
     }
 }
--- a/core/src/test/java/org/jasminehub/core/balance/BeliefAgeTest.java
+++ b/core/src/test/java/org/jasminehub/core/balance/StateAgeTest.java
@@ -6,18 +6,17 @@
 import org.jasminehub.core.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-/** How old a belief is, by two clocks. */
-final class BeliefAgeTest {
+final class StateAgeTest {
     @Test
-    void testNothingKnownIsAsOldAsCanBe() {
-        assertEquals(Long.MAX_VALUE, new BeliefAge(new ManualClock(0)).millis());
+    void testStateThatWasNeverConfirmedHasMaximumAge() {
+        assertEquals(Long.MAX_VALUE, new StateAge(new ManualClock(0)).millis());
     }
 
     @Test
-    void testAnEarlierConfirmationDoesNotMakeABeliefOlder() {
+    void testOutdatedConfirmationDoesNotIncreaseAge() {
         ManualClock clock = new ManualClock(1_000);
-        BeliefAge age = new BeliefAge(clock);
-        BeliefAge.Moment early = age.now();
+        StateAge age = new StateAge(clock);
+        StateAge.ClockReading early = age.now();
         clock.advanceMillis(500);
         age.confirm(age.now());
         age.confirm(early);
@@ -27,16 +26,16 @@
     }
 
     @Test
-    void testASuspensionThatOnlyTheWallClockSeesCounts() {
+    void testSuspensionSeenOnlyByWallClockCounts() {
         ShiftedClock clock = new ShiftedClock();
-        BeliefAge age = new BeliefAge(clock);
+        StateAge age = new StateAge(clock);
         age.confirm(age.now());
         clock.wallShiftMillis = 6_000;
 
         assertEquals(6_000, age.millis());
     }
 
-    /** A clock whose wall time can be moved alone. */
+    /** A clock whose wall time can be shifted independently of its monotonic time. */
     private static final class ShiftedClock implements Clock {
         private long wallShiftMillis;
 
--- a/core/src/test/java/org/jasminehub/core/limit/WorkspaceLimiterTest.java
+++ b/core/src/test/java/org/jasminehub/core/limit/WorkspaceLimiterTest.java
@@ -29,24 +29,24 @@
         }
     }
 
-    /** Asks for as many requests as pass now, and ends each at once. */
-    private static int drain(WorkspaceLimiter limiter, int asked) {
-        int passed = 0;
-        for (int i = 0; i < asked; i++) {
+    /** Sends requests that end immediately, and returns how many were allowed. */
+    private static int sendRequests(WorkspaceLimiter limiter, int count) {
+        int allowedCount = 0;
+        for (int i = 0; i < count; i++) {
             if (limiter.acquire(1) instanceof LimitDecision.Allowed allowed) {
                 limiter.release(allowed, 1);
-                passed++;
+                allowedCount++;
             }
         }
-        return passed;
+        return allowedCount;
     }
 
     @Nested
-    final class Alone {
+    final class SingleInstance {
         @Test
-        void testEachLimitIsNamedWithATimeToComeBack() {
+        void testExceededLimitIsReportedWithRetryTime() {
             WorkspaceLimiter limiter = limiter(0);
-            assertEquals(10, drain(limiter, 10));
+            assertEquals(10, sendRequests(limiter, 10));
             assertEquals(new LimitDecision.Exceeded(LimitKind.REQUESTS, 100), limiter.acquire(1));
             clock.advanceMillis(1000);
             limiter.acquire(1000);
@@ -54,7 +54,7 @@
         }
 
         @Test
-        void testConcurrentRequestsStayWithinTheFixedShare() {
+        void testConcurrentRequestsStayWithinFixedShare() {
             WorkspaceLimiter limiter = limiter(0);
             for (int i = 0; i < 4; i++) {
                 assertInstanceOf(LimitDecision.Allowed.class, limiter.acquire(1));
@@ -63,7 +63,7 @@
         }
 
         @Test
-        void testUnusedTokensAreGivenBack() {
+        void testUnusedTokensAreRefunded() {
             WorkspaceLimiter limiter = limiter(0);
             LimitDecision.Allowed allowed = (LimitDecision.Allowed) limiter.acquire(1000);
             limiter.release(allowed, 100);
@@ -71,7 +71,7 @@
         }
 
         @Test
-        void testRequestLargerThanASecondsShareRunsAndIsPaidForAfterwards() {
+        void testRequestLargerThanBurstDelaysLaterRequests() {
             WorkspaceLimiter limiter = limiter(0);
             assertInstanceOf(LimitDecision.Allowed.class, limiter.acquire(5000));
             assertEquals(new LimitDecision.Exceeded(LimitKind.TOKENS, 4001), limiter.acquire(1));
@@ -79,75 +79,75 @@
     }
 
     @Nested
-    final class Shared {
+    final class SharedLimits {
         private final WorkspaceLimiter busy = limiter(0);
         private final WorkspaceLimiter idle = limiter(1);
 
         @Test
-        void testDemandMovesTheShareToTheBusyInstance() {
-            drain(busy, 20);
+        void testShareIsLentToBusyInstance() {
+            sendRequests(busy, 20);
             exchange(busy, idle);
-            assertEquals(20, busy.present(LimitKind.REQUESTS), 0.01);
-            assertEquals(0, idle.present(LimitKind.REQUESTS), 0.01);
+            assertEquals(20, busy.currentShare(LimitKind.REQUESTS), 0.01);
+            assertEquals(0, idle.currentShare(LimitKind.REQUESTS), 0.01);
         }
 
         @Test
-        void testCutOffInstanceFallsBackToItsFixedShareAndTheLenderGetsItBack() {
-            drain(busy, 20);
+        void testLoanEndsWithoutContactBetweenInstances() {
+            sendRequests(busy, 20);
             exchange(busy, idle);
             clock.advanceMillis(2000);
-            assertEquals(10, busy.present(LimitKind.REQUESTS), 0.01);
-            assertEquals(10, idle.present(LimitKind.REQUESTS), 0.01);
+            assertEquals(10, busy.currentShare(LimitKind.REQUESTS), 0.01);
+            assertEquals(10, idle.currentShare(LimitKind.REQUESTS), 0.01);
         }
 
         @Test
-        void testLateAnswerIsNotUsedPastTheLendersTime() {
-            drain(busy, 20);
+        void testReplyReceivedAfterLoanEndedIsIgnored() {
+            sendRequests(busy, 20);
             LoanRequest request = busy.wantedLoans(1).get(0);
             LoanReply reply = idle.lend(request);
             clock.advanceMillis(2000);
             busy.borrowed(request, reply);
-            assertEquals(10, busy.present(LimitKind.REQUESTS), 0.01);
+            assertEquals(10, busy.currentShare(LimitKind.REQUESTS), 0.01);
         }
     }
 
     @Nested
-    final class AnySchedule {
-        private static final int SCHEDULES = 50;
+    final class RandomSchedules {
+        private static final int SCHEDULE_COUNT = 50;
         private static final int STEPS = 400;
 
-        private record Letter(int borrower, LoanRequest request, LoanReply reply, long arrivesMillis) {}
+        private record DelayedReply(int borrower, LoanRequest request, LoanReply reply, long arrivesMillis) {}
 
-        /** Demand shifts, and answers are lost or late; the parts must never sum to more than a limit. */
+        /** Runs a random schedule of shifting demand and lost or late replies; the shares must never exceed a limit. */
         private int run(long seed) {
             Random random = new Random(seed);
             List<WorkspaceLimiter> limiters = new ArrayList<>();
             for (int rank = 0; rank < INSTANCES; rank++) {
                 limiters.add(limiter(rank));
             }
-            List<Letter> letters = new ArrayList<>();
-            int passed = 0;
+            List<DelayedReply> delayed = new ArrayList<>();
+            int allowedCount = 0;
             for (int step = 0; step < STEPS; step++) {
                 clock.advanceMillis(50);
-                passed += drain(limiters.get(random.nextInt(INSTANCES)), random.nextInt(12));
+                allowedCount += sendRequests(limiters.get(random.nextInt(INSTANCES)), random.nextInt(12));
                 int borrower = random.nextInt(INSTANCES);
                 WorkspaceLimiter lender = limiters.get((borrower + 1 + random.nextInt(INSTANCES - 1)) % INSTANCES);
                 for (LoanRequest request : limiters.get(borrower).wantedLoans(1)) {
                     long arrivesMillis = clock.monotonicMillis() + random.nextInt(3000);
-                    letters.add(new Letter(borrower, request, lender.lend(request), arrivesMillis));
+                    delayed.add(new DelayedReply(borrower, request, lender.lend(request), arrivesMillis));
                 }
-                letters.removeIf(letter -> random.nextInt(20) == 0);
-                deliver(limiters, letters);
+                delayed.removeIf(message -> random.nextInt(20) == 0);
+                deliver(limiters, delayed);
                 assertWithinLimits(limiters);
             }
-            return passed;
+            return allowedCount;
         }
 
-        private void deliver(List<WorkspaceLimiter> limiters, List<Letter> letters) {
-            for (Letter letter : List.copyOf(letters)) {
-                if (letter.arrivesMillis() <= clock.monotonicMillis()) {
-                    letters.remove(letter);
-                    limiters.get(letter.borrower()).borrowed(letter.request(), letter.reply());
+        private void deliver(List<WorkspaceLimiter> limiters, List<DelayedReply> delayed) {
+            for (DelayedReply message : List.copyOf(delayed)) {
+                if (message.arrivesMillis() <= clock.monotonicMillis()) {
+                    delayed.remove(message);
+                    limiters.get(message.borrower()).borrowed(message.request(), message.reply());
                 }
             }
         }
@@ -160,17 +160,17 @@
 
         private double sum(List<WorkspaceLimiter> limiters, LimitKind kind) {
             return limiters.stream()
-                    .mapToDouble(limiter -> limiter.present(kind))
+                    .mapToDouble(limiter -> limiter.currentShare(kind))
                     .sum();
         }
 
         @Test
-        void testPartsNeverSumToMoreThanTheLimitUnderOneView() {
+        void testSharesNeverExceedLimitUnderOneView() {
             double seconds = STEPS * 50 / 1000.0;
-            for (long seed = 1; seed <= SCHEDULES; seed++) {
-                int passed = run(seed);
-                double most = RULE.requestsPerSecond() * (seconds + 1) + INSTANCES;
-                assertTrue(passed <= most, "seed " + seed + " passed " + passed);
+            for (long seed = 1; seed <= SCHEDULE_COUNT; seed++) {
+                int allowedCount = run(seed);
+                double maxAllowed = RULE.requestsPerSecond() * (seconds + 1) + INSTANCES;
+                assertTrue(allowedCount <= maxAllowed, "seed " + seed + " allowed " + allowedCount);
             }
         }
     }
--- a/core/src/test/java/org/jasminehub/core/routing/EndpointTrackerTest.java
+++ b/core/src/test/java/org/jasminehub/core/routing/EndpointTrackerTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void testReportReplacesOnlyWorkSentBeforeItWasTaken() {
+    void testReportReplacesOnlyWorkSentBeforeIt() {
         tracker.recordSent(ENDPOINT, 100);
         clock.advanceMillis(300);
         tracker.recordSent(ENDPOINT, 40);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void testReportTakenBeforeTheLastOneIsIgnored() {
+    void testReportOlderThanLatestIsIgnored() {
         tracker.recordReport(ENDPOINT, queued(7), 0);
         clock.advanceMillis(100);
         tracker.recordReport(ENDPOINT, queued(900), 500);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void testLongDelayFadesSoThatTheEndpointIsTriedAgain() {
+    void testDelayRatioDecaysSoThatEndpointIsTriedAgain() {
         for (int i = 0; i < 30; i++) {
             tracker.recordFirstToken(ENDPOINT, 100, 1000);
         }
--- a/core/src/test/java/org/jasminehub/core/routing/FirstTokenPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/routing/FirstTokenPolicyTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 final class FirstTokenPolicyTest {
-    private static final FailureDomain HERE = new FailureDomain("here");
-    private static final FailureDomain THERE = new FailureDomain("there");
-    private static final RoutingRequest REQUEST = new RoutingRequest(HERE, 800, 100, Priority.URGENT, 10_000);
-    private static final int DRAWS = 1000;
+    private static final FailureDomain LOCAL = new FailureDomain("here");
+    private static final FailureDomain REMOTE = new FailureDomain("there");
+    private static final RoutingRequest REQUEST = new RoutingRequest(LOCAL, 800, 100, Priority.URGENT, 10_000);
+    private static final int REQUESTS = 1000;
 
     private static FirstTokenPolicy policy(int sampleSize) {
         FirstTokenEstimate estimate = new FirstTokenEstimate(NetworkDistance.uniform(1.5), 2000, 1);
@@ -43,98 +43,101 @@
     @Nested
     final class Estimate {
         @Test
-        void testNearerEndpointWinsAtEqualLoad() {
-            assertEquals("near", best(state("far", THERE, load(0, 20)), state("near", HERE, load(0, 20))));
+        void testNearerEndpointIsChosenAtEqualLoad() {
+            assertEquals("near", best(state("far", REMOTE, load(0, 20)), state("near", LOCAL, load(0, 20))));
         }
 
         @Test
         void testShorterQueueOutweighsDistance() {
-            assertEquals("far", best(state("far", THERE, load(0, 20)), state("near", HERE, load(2000, 20))));
+            assertEquals("far", best(state("far", REMOTE, load(0, 20)), state("near", LOCAL, load(2000, 20))));
         }
 
         @Test
-        void testSlowerStepMakesTheSameQueueLonger() {
-            assertEquals("fast", best(state("slow", HERE, load(1000, 40)), state("fast", HERE, load(1000, 20))));
+        void testSlowerStepMakesEqualQueueCostMore() {
+            assertEquals("fast", best(state("slow", LOCAL, load(1000, 40)), state("fast", LOCAL, load(1000, 20))));
         }
 
         @Test
-        void testCachedPrefixWinsUntilItsQueueCostsMore() {
-            EndpointState idle = state("idle", HERE, load(0, 20));
+        void testCachedPrefixIsChosenUnlessItsQueueCostsMore() {
+            EndpointState idle = state("idle", LOCAL, load(0, 20));
             assertEquals("cached", best(withPrefix(load(10, 20)), idle));
             assertEquals("idle", best(withPrefix(load(1000, 20)), idle));
         }
 
         private EndpointState withPrefix(LoadReport load) {
-            return new EndpointState(new EndpointId("cached"), HERE, load, 0, 0, 0, 700);
+            return new EndpointState(new EndpointId("cached"), LOCAL, load, 0, 0, 0, 700);
         }
 
         @Test
-        void testOwnWorkSinceTheReportCounts() {
-            EndpointState used = new EndpointState(new EndpointId("used"), HERE, load(100, 20), 50, 900, 6, 0);
-            assertEquals("other", best(used, state("other", HERE, load(500, 20))));
+        void testWorkSentSinceReportCounts() {
+            EndpointState used = new EndpointState(new EndpointId("used"), LOCAL, load(100, 20), 50, 900, 6, 0);
+            assertEquals("other", best(used, state("other", LOCAL, load(500, 20))));
         }
     }
 
     @Nested
-    final class BadReports {
+    final class UnreliableReports {
         @Test
-        void testOldReportOfAnEmptyQueueDoesNotWinOverAFreshOne() {
-            EndpointState old = new EndpointState(new EndpointId("old"), HERE, load(0, 20), 60_000, 0, 0, 0);
-            EndpointState fresh = state("fresh", HERE, load(300, 20));
-            EndpointState busy = state("busy", HERE, load(400, 20));
+        void testFreshReportIsPreferredToOldReportOfEmptyQueue() {
+            EndpointState old = new EndpointState(new EndpointId("old"), LOCAL, load(0, 20), 60_000, 0, 0, 0);
+            EndpointState fresh = state("fresh", LOCAL, load(300, 20));
+            EndpointState busy = state("busy", LOCAL, load(400, 20));
             assertEquals("fresh", best(old, fresh, busy, busy));
         }
 
         @Test
-        void testMissingReportNeitherAttractsNorRepels() {
-            EndpointState silent = state("silent", HERE, LoadReport.unknown());
-            EndpointState idle = state("idle", HERE, load(0, 20));
-            EndpointState middle = state("middle", HERE, load(500, 20));
-            EndpointState busy = state("busy", HERE, load(2000, 20));
+        void testEndpointWithoutReportIsTreatedAsMedian() {
+            EndpointState silent = state("silent", LOCAL, LoadReport.unknown());
+            EndpointState idle = state("idle", LOCAL, load(0, 20));
+            EndpointState middle = state("middle", LOCAL, load(500, 20));
+            EndpointState busy = state("busy", LOCAL, load(2000, 20));
             assertEquals("idle", best(silent, idle, middle, busy));
             assertEquals("silent", best(silent, busy, middle, middle));
         }
 
         @Test
-        void testFiguresThatNoEngineCanHaveCountAsMissing() {
+        void testInvalidReportIsTreatedAsMissing() {
             LoadReport broken = new LoadReport(0, 0, 32, Double.NaN, Double.POSITIVE_INFINITY, true);
             assertEquals(
                     "idle",
                     best(
-                            state("broken", HERE, broken),
-                            state("idle", HERE, load(0, 20)),
-                            state("b", HERE, load(9, 20))));
+                            state("broken", LOCAL, broken),
+                            state("idle", LOCAL, load(0, 20)),
+                            state("b", LOCAL, load(9, 20))));
         }
 
         @Test
-        void testLongDelaysRefuteAReportOfAnEmptyQueue() {
-            EndpointState wrong = new EndpointState(new EndpointId("wrong"), HERE, load(0, 20), 0, 0, 0, 0, 15);
+        void testLongDelaysOverrideReportOfEmptyQueue() {
+            EndpointState wrong = new EndpointState(new EndpointId("wrong"), LOCAL, load(0, 20), 0, 0, 0, 0, 15);
             assertEquals(
-                    "honest", best(wrong, state("honest", HERE, load(300, 20)), state("third", HERE, load(350, 20))));
+                    "honest", best(wrong, state("honest", LOCAL, load(300, 20)), state("third", LOCAL, load(350, 20))));
         }
 
         @Test
-        void testEndpointThatDoesNotAcceptIsNeverChosen() {
+        void testEndpointThatDoesNotAcceptWorkIsNeverChosen() {
             LoadReport closed = new LoadReport(0, 0, 32, 20, 20_000, false);
             assertTrue(policy(1)
-                    .choose(REQUEST, List.of(state("closed", HERE, closed)))
+                    .choose(REQUEST, List.of(state("closed", LOCAL, closed)))
                     .isEmpty());
         }
     }
 
     @Nested
-    final class Sharing {
-        /** Sends requests while one endpoint steps slower; all queues drain at their own speed between requests. */
-        private int shareOfFirst(double stepFactor) {
+    final class Distribution {
+        /**
+         * Returns how many requests the first endpoint receives if its steps take {@code stepFactor} times as long. All
+         * queues drain at their own speed between requests.
+         */
+        private int requestsToFirst(double stepFactor) {
             double[] queue = new double[12];
             FirstTokenPolicy policy = policy(3);
             int first = 0;
-            for (int draw = 0; draw < DRAWS; draw++) {
+            for (int request = 0; request < REQUESTS; request++) {
                 List<EndpointState> states = new ArrayList<>();
                 for (int i = 0; i < queue.length; i++) {
                     double step = i == 0 ? 20 * stepFactor : 20;
                     queue[i] = Math.max(0, queue[i] - 150.0 / 12 * 20 / step);
-                    states.add(state("" + i, HERE, load((long) queue[i], step)));
+                    states.add(state("" + i, LOCAL, load((long) queue[i], step)));
                 }
                 int chosen = Integer.parseInt(
                         policy.choose(REQUEST, states).orElseThrow().endpoint().value());
@@ -145,30 +148,30 @@
         }
 
         @Test
-        void testRequestsMoveOffASlowGroupInProportionAndComeBack() {
-            int even = shareOfFirst(1);
-            int half = shareOfFirst(2);
-            int quarter = shareOfFirst(4);
-            assertTrue(even > DRAWS / 12 * 0.8 && even < DRAWS / 12 * 1.25, "even share " + even);
+        void testSlowEndpointReceivesProportionallyFewerRequests() {
+            int even = requestsToFirst(1);
+            int half = requestsToFirst(2);
+            int quarter = requestsToFirst(4);
+            assertTrue(even > REQUESTS / 12 * 0.8 && even < REQUESTS / 12 * 1.25, "even share " + even);
             assertTrue(half <= even * 0.65 && half > 0, "at twice the step time " + half);
             assertTrue(quarter <= even * 0.4, "at four times the step time " + quarter);
-            assertEquals(even, shareOfFirst(1));
+            assertEquals(even, requestsToFirst(1));
         }
 
         @Test
-        void testOneStaleReportOfAnIdleEndpointDoesNotDrawEveryRequest() {
+        void testStaleReportOfIdleEndpointDoesNotAttractAllRequests() {
             List<EndpointState> states = new ArrayList<>();
-            states.add(state("idle", HERE, load(0, 20)));
+            states.add(state("idle", LOCAL, load(0, 20)));
             for (int i = 1; i < 12; i++) {
-                states.add(state("" + i, HERE, load(500, 20)));
+                states.add(state("" + i, LOCAL, load(500, 20)));
             }
             FirstTokenPolicy policy = policy(3);
             int idle = 0;
-            for (int draw = 0; draw < DRAWS; draw++) {
+            for (int request = 0; request < REQUESTS; request++) {
                 EndpointChoice choice = policy.choose(REQUEST, states).orElseThrow();
                 idle += choice.endpoint().value().equals("idle") ? 1 : 0;
             }
-            assertTrue(idle < DRAWS * 0.35, "share of the idle endpoint " + idle);
+            assertTrue(idle < REQUESTS * 0.35, "share of the idle endpoint " + idle);
         }
     }
 }
--- a/core/src/test/java/org/jasminehub/core/routing/PrefixHintsTest.java
+++ b/core/src/test/java/org/jasminehub/core/routing/PrefixHintsTest.java
@@ -24,20 +24,20 @@
     }
 
     @Test
-    void testLongestKnownBeginningCounts() {
+    void testLongestCachedPrefixCounts() {
         hints.recordPrompt(ENDPOINT, PromptPrefix.ofText("a".repeat(PromptPrefix.BLOCK_CHARS) + "b".repeat(2000)));
         assertEquals(256, expected());
     }
 
     @Test
-    void testHintHalvesInItsHalfLife() {
+    void testHintDecaysByHalfAfterHalfLife() {
         hints.recordPrompt(ENDPOINT, prefix);
         clock.advanceMillis((long) HALF_LIFE_MILLIS);
         assertEquals(256, expected());
     }
 
     @Test
-    void testLateEvictionOlderThanTheHintIsIgnored() {
+    void testEvictionOlderThanHintIsIgnored() {
         clock.advanceMillis(5000);
         hints.recordPrompt(ENDPOINT, prefix);
         hints.recordEvent(new PrefixEvent(ENDPOINT, 1, lastHash(), false, 4000));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void testGapInEventsHalvesTrustAndRealHitsRestoreIt() {
+    void testEventGapHalvesTrustAndReportedHitsRestoreIt() {
         hints.recordPrompt(ENDPOINT, prefix);
         hints.recordEvent(new PrefixEvent(ENDPOINT, 1, 99, true, 0));
         hints.recordEvent(new PrefixEvent(ENDPOINT, 5, 98, true, 0));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void testHintsThatTheEngineRefutesLoseTheirWeight() {
+    void testReportedMissesReduceWeightOfHints() {
         hints.recordPrompt(ENDPOINT, prefix);
         for (int i = 0; i < 20; i++) {
             hints.recordHit(ENDPOINT, prefix, 512, 0);
--- a/core/src/test/java/org/jasminehub/core/stream/EventSplitterTest.java
+++ b/core/src/test/java/org/jasminehub/core/stream/EventSplitterTest.java
@@ -11,12 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Events that arrive in pieces of any size. */
 final class EventSplitterTest {
     private static final String STREAM = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\n";
 
     @Test
-    void testEventsAreWholeWhateverThePiecesAre() {
+    void testEventsAreCompleteForAnyChunkSize() {
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         for (int size = 1; size <= bytes.length; size++) {
             EventSplitter splitter = new EventSplitter();
@@ -24,20 +23,20 @@
             for (int from = 0; from < bytes.length; from += size) {
                 events.addAll(splitter.take(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + size))));
             }
-            assertEquals(3, events.size(), "pieces of " + size);
+            assertEquals(3, events.size(), "chunks of " + size);
             assertEquals(1, events.get(0).id());
             assertEquals("id:2\r\ndata: b\r\n\r\n", new String(events.get(1).bytes(), StandardCharsets.UTF_8));
             assertNull(events.get(2).id());
-            assertFalse(splitter.isInsideEvent());
+            assertFalse(splitter.hasPartialEvent());
         }
     }
 
     @Test
-    void testACutInsideAnEventShows() {
+    void testPartialEventIsDetected() {
         EventSplitter splitter = new EventSplitter();
 
         assertTrue(splitter.take("id: 1\ndata: a\n".getBytes(StandardCharsets.UTF_8))
                 .isEmpty());
-        assertTrue(splitter.isInsideEvent());
+        assertTrue(splitter.hasPartialEvent());
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
+import org.jasminehub.core.balance.CallRetryBudget;
 import org.jasminehub.core.balance.EndpointChoicePolicy;
 import org.jasminehub.core.balance.EndpointLoads;
-import org.jasminehub.core.balance.RepeatBudget;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.identity.EndpointId;
 import org.jasminehub.core.identity.FailureDomain;
@@ -95,7 +95,7 @@
     private final PeerExchange peers;
     private final ExpertCoordinator experts;
     private final EndpointLoads loads;
-    private final RepeatBudget budget;
+    private final CallRetryBudget budget;
     private final CallDispatcher dispatcher;
     private @Nullable CallerServer callers;
     private long clockDifferenceMillis;
@@ -141,7 +141,7 @@
                 endpoints::all,
                 peers::isFirst);
         RandomGenerator random = new SplittableRandom(settings.instance().hashCode() ^ clock.wallMillis());
-        this.budget = new RepeatBudget(clock, settings.repeatRatio(), settings.repeatReserve(), (long)
+        this.budget = new CallRetryBudget(clock, settings.repeatRatio(), settings.repeatReserve(), (long)
                 (settings.repeatWindowSeconds() * TimeUnit.SECONDS.toMillis(1)));
         this.dispatcher = new CallDispatcher(
                 loop,
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
@@ -85,7 +85,7 @@
             HttpUtil.setContentLength(message, request.body().length);
         }
         // A call with effects takes a connection of its own, so that a kept one that just closed leaves no doubt.
-        ConnectionUse use = call.route().mayRepeat() ? ConnectionUse.KEPT_OR_NEW : ConnectionUse.NEW;
+        ConnectionUse use = call.route().mayRetry() ? ConnectionUse.KEPT_OR_NEW : ConnectionUse.NEW;
         exchange = call.dispatcher().client().send(address(), message, use, this);
         watchSilence();
     }
@@ -126,7 +126,7 @@
     }
 
     private void watchSilence() {
-        if (!call.route().mayRepeat()) {
+        if (!call.route().mayRetry()) {
             return;
         }
         boolean isStream = call.route().kind() == CallKind.STREAMING;
@@ -162,7 +162,7 @@
         long nowMillis = call.dispatcher().clock().monotonicMillis();
         call.dispatcher().onProgress(call.service(), endpoint, eventMillis < 0 ? -1 : nowMillis - eventMillis);
         eventMillis = nowMillis;
-        if (call.route().mayRepeat()) {
+        if (call.route().mayRetry()) {
             watchFor(STREAM_PAUSE_MILLIS, "the stream paused for " + STREAM_PAUSE_MILLIS + " ms");
         }
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallDispatcher.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallDispatcher.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.jasminehub.core.balance.AttemptEnd;
+import org.jasminehub.core.balance.CallRetryBudget;
 import org.jasminehub.core.balance.EndpointChoicePolicy;
 import org.jasminehub.core.balance.EndpointLoads;
-import org.jasminehub.core.balance.GroupPauses;
-import org.jasminehub.core.balance.RepeatBudget;
-import org.jasminehub.core.balance.StreamPaceLimit;
+import org.jasminehub.core.balance.GroupBackoff;
+import org.jasminehub.core.balance.StreamConcurrencyLimit;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.identity.EndpointId;
 import org.jasminehub.core.serving.EndpointRecord;
@@ -42,12 +42,12 @@
     private final EndpointController endpoints;
     private final EndpointLoads loads;
     private final EndpointChoicePolicy choice;
-    private final RepeatBudget budget;
+    private final CallRetryBudget budget;
     private final RandomGenerator random;
     private final EventSink events;
     private final ConcurrencyLimits concurrency;
     private final Map<String, ServiceLine> lines = new HashMap<>();
-    private final GroupPauses pauses;
+    private final GroupBackoff pauses;
     private final Set<RunningCall> running = new HashSet<>();
     private long nextSequence;
 
@@ -59,7 +59,7 @@
             EndpointController endpoints,
             EndpointLoads loads,
             EndpointChoicePolicy choice,
-            RepeatBudget budget,
+            CallRetryBudget budget,
             ConcurrencyLimits concurrency,
             RandomGenerator random,
             EventSink events) {
@@ -73,7 +73,7 @@
         this.concurrency = concurrency;
         this.random = random;
         this.events = events;
-        this.pauses = new GroupPauses(clock);
+        this.pauses = new GroupBackoff(clock);
     }
 
     /** Returns how many calls are open. */
@@ -109,7 +109,7 @@
     Optional<EndpointRecord> choose(RunningCall call) {
         List<EndpointRecord> serving = endpoints.serving(call.service()).stream()
                 .filter(endpoint -> endpoint.seat() == null
-                        || !pauses.isPaused(endpoint.seat().group()))
+                        || !pauses.isBackingOff(endpoint.seat().group()))
                 .toList();
         return choice.choose(serving, call.tried(), maxCallsPerSlot(call, serving));
     }
@@ -127,7 +127,7 @@
             open += loads.openCalls(endpoint.id());
             slots += endpoint.slots();
         }
-        StreamPaceLimit pace = line(call.service()).pace();
+        StreamConcurrencyLimit pace = line(call.service()).pace();
         return Math.min(limit, pace.callsPerSlot(engine, call.route().maxPauseMillis(), open / Math.max(1, slots)));
     }
 
@@ -153,8 +153,8 @@
     }
 
     /** Returns when a caller that was refused for want of a place should come back. */
-    long returnMillis(String service) {
-        return line(service).returnMillis(random.nextDouble());
+    long retryAfterMillis(String service) {
+        return line(service).retryAfterMillis(random.nextDouble());
     }
 
     void onSent(EndpointId endpoint) {
@@ -173,7 +173,7 @@
         loads.onFailure(endpoint.id());
         GroupSeat seat = endpoint.seat();
         if (end == AttemptEnd.NOT_RUN && seat != null && pauses.onRefused(seat.group())) {
-            after(GroupPauses.PAUSE_MILLIS, this::drainLines);
+            after(GroupBackoff.BACKOFF_MILLIS, this::drainLines);
         }
         loop.execute(this::drainLines);
     }
@@ -212,8 +212,8 @@
         return loop.schedule(action, Math.max(0, millis), TimeUnit.MILLISECONDS);
     }
 
-    boolean tryRepeat(String service) {
-        return budget.tryRepeat(service);
+    boolean tryRetry(String service) {
+        return budget.tryRetry(service);
     }
 
     long nextSequence() {
--- a/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.concurrent.ScheduledFuture;
 import org.jasminehub.core.balance.AttemptEnd;
-import org.jasminehub.core.balance.RepeatPolicy;
-import org.jasminehub.core.balance.WaitingLinePolicy;
+import org.jasminehub.core.balance.CallQueuePolicy;
+import org.jasminehub.core.balance.CallRetryPolicy;
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.identity.EndpointId;
 import org.jasminehub.core.serving.EndpointRecord;
@@ -111,8 +111,8 @@
     }
 
     /** Returns whether the caller was refused before and is late in any case. */
-    boolean hasReturned() {
-        return WaitingLinePolicy.hasReturned(route(), allowedMillis());
+    boolean isCallerRetry() {
+        return CallQueuePolicy.isCallerRetry(route(), allowedMillis());
     }
 
     private long allowedMillis() {
@@ -155,7 +155,7 @@
             return;
         }
         queuedSinceMillis = dispatcher.clock().monotonicMillis();
-        long leftInLineMillis = WaitingLinePolicy.waitMillis(route(), allowedMillis()) - elapsedMillis();
+        long leftInLineMillis = CallQueuePolicy.maxWaitMillis(route(), allowedMillis()) - elapsedMillis();
         if (sends > 0) {
             // Work has been spent on it, so it waits for a place also when it will be late.
             leftInLineMillis = Math.min(remainingMillis(), MAX_REQUEUED_MILLIS);
@@ -195,7 +195,7 @@
         if (!isDone) {
             finishRefused(Refusal.later(
                     ErrorCode.OVERLOADED,
-                    dispatcher.returnMillis(service()),
+                    dispatcher.retryAfterMillis(service()),
                     "no endpoint of " + service() + " had room in time; " + dispatcher.waiting(service())
                             + " calls in line"));
         }
@@ -209,14 +209,14 @@
 
     /** Returns whether the call could go on elsewhere if the present attempt were given up now. */
     boolean mayRepeatAfterRun() {
-        return RepeatPolicy.mayRepeat(route(), AttemptEnd.MAY_HAVE_RUN, runs + 1, sends, remainingMillis());
+        return CallRetryPolicy.mayRetry(route(), AttemptEnd.MAY_HAVE_RUN, runs + 1, sends, remainingMillis());
     }
 
     /** The present attempt ended without an answer to deliver: goes on elsewhere, or gives up with {@code refusal}. */
     void onAttemptFailed(Attempt failed, AttemptEnd end, String reason, Runnable deliverFailure) {
         runs += end.isNotRun() ? 0 : 1;
-        boolean isRepeated =
-                RepeatPolicy.mayRepeat(route(), end, runs, sends, remainingMillis()) && dispatcher.tryRepeat(service());
+        boolean isRepeated = CallRetryPolicy.mayRetry(route(), end, runs, sends, remainingMillis())
+                && dispatcher.tryRetry(service());
         dispatcher
                 .events()
                 .emit(new AttemptFailed(
@@ -247,7 +247,7 @@
     /** Answers with a failure of this system's own. */
     void giveUp(AttemptEnd end, String reason) {
         if (end.isNotRun() && runs == 0) {
-            finishRefused(Refusal.later(ErrorCode.OVERLOADED, dispatcher.returnMillis(service()), reason));
+            finishRefused(Refusal.later(ErrorCode.OVERLOADED, dispatcher.retryAfterMillis(service()), reason));
         } else {
             finishRefused(Refusal.of(ErrorCode.ENDPOINT_FAILED, reason));
         }
@@ -269,8 +269,8 @@
             stated = Refusal.of(ErrorCode.ENDPOINT_FAILED, refusal.reason());
         }
         if (!mayHaveRun && refusal.code() == ErrorCode.DEADLINE_EXCEEDED) {
-            stated =
-                    Refusal.later(ErrorCode.DEADLINE_UNREACHABLE, dispatcher.returnMillis(service()), refusal.reason());
+            stated = Refusal.later(
+                    ErrorCode.DEADLINE_UNREACHABLE, dispatcher.retryAfterMillis(service()), refusal.reason());
         }
         end(
                 CallEventKind.CALL_REFUSED,
--- a/gateway/src/main/java/org/jasminehub/gateway/call/ServiceLine.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/ServiceLine.java
@@ -3,30 +3,30 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.TreeSet;
-import org.jasminehub.core.balance.StreamPaceLimit;
-import org.jasminehub.core.balance.WaitingLinePolicy;
+import org.jasminehub.core.balance.CallQueuePolicy;
+import org.jasminehub.core.balance.StreamConcurrencyLimit;
 import org.jasminehub.core.time.Clock;
 
 /** The calls that wait for a place at one service, and what decides about them. Used on the event loop only. */
 final class ServiceLine {
     /** Callers that came back are late in any case, so they follow those that can still be in time. */
     private static final Comparator<RunningCall> ORDER = Comparator.comparingInt(RunningCall::priority)
-            .thenComparing(RunningCall::hasReturned)
+            .thenComparing(RunningCall::isCallerRetry)
             .thenComparingLong(RunningCall::sequence);
 
     private final Clock clock;
     private final TreeSet<RunningCall> calls = new TreeSet<>(ORDER);
-    private final StreamPaceLimit pace;
-    private final WaitingLinePolicy policy;
+    private final StreamConcurrencyLimit pace;
+    private final CallQueuePolicy policy;
     private long progressMillis;
 
     ServiceLine(Clock clock) {
         this.clock = clock;
-        this.pace = new StreamPaceLimit(clock);
-        this.policy = new WaitingLinePolicy(clock);
+        this.pace = new StreamConcurrencyLimit(clock);
+        this.policy = new CallQueuePolicy(clock);
     }
 
-    StreamPaceLimit pace() {
+    StreamConcurrencyLimit pace() {
         return pace;
     }
 
@@ -51,8 +51,8 @@
         return policy.mayWait(calls.headSet(call).size(), leftMillis);
     }
 
-    long returnMillis(double position) {
-        return policy.returnMillis(calls.size(), position);
+    long retryAfterMillis(double position) {
+        return policy.retryAfterMillis(calls.size(), position);
     }
 
     void onPlaceFreed() {
@@ -63,7 +63,7 @@
     void onProgress(long pauseMillis) {
         progressMillis = clock.monotonicMillis();
         if (pauseMillis >= 0) {
-            pace.onPause(pauseMillis);
+            pace.onEventGap(pauseMillis);
         }
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
@@ -56,7 +56,7 @@
 
     @Override
     public void end() {
-        if (splitter.isInsideEvent()) {
+        if (splitter.hasPartialEvent()) {
             attempt.fail(AttemptEnd.MAY_HAVE_RUN, "the stream ended inside an event");
             return;
         }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/ConfigurationController.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.jasminehub.core.balance.BeliefAge;
+import org.jasminehub.core.balance.StateAge;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.serving.RouteTable;
 import org.jasminehub.core.time.Clock;
@@ -88,10 +88,10 @@
      * @param asked when the question was sent that the peer answered
      * @param peerAgeMillis how old the peer's own knowledge was when it answered
      */
-    public void onPeerKnows(BeliefAge.Moment asked, long peerAgeMillis) {
+    public void onPeerKnows(StateAge.ClockReading asked, long peerAgeMillis) {
         if (peerAgeMillis >= 0 && peerAgeMillis < MAX_PEER_AGE_MILLIS) {
             follower.age()
-                    .confirm(new BeliefAge.Moment(
+                    .confirm(new StateAge.ClockReading(
                             asked.monotonicMillis() - peerAgeMillis, asked.wallMillis() - peerAgeMillis));
         }
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/EndpointController.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/EndpointController.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.jasminehub.core.balance.EndpointRoster;
+import org.jasminehub.core.balance.EndpointEligibility;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.identity.EndpointId;
 import org.jasminehub.core.serving.EndpointRecord;
@@ -190,7 +190,7 @@
     }
 
     private void publish() {
-        servingByService = EndpointRoster.serving(endpoints.values());
+        servingByService = EndpointEligibility.serving(endpoints.values());
         onChanged.run();
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.jasminehub.core.balance.BeliefAge;
+import org.jasminehub.core.balance.StateAge;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.platform.hosted.HistoryGoneException;
@@ -40,7 +40,7 @@
     private final Clock clock;
     private final EventSink events;
     private final Listener listener;
-    private final BeliefAge age;
+    private final StateAge age;
     private long nextOffset = -1;
     private long retryMillis = MIN_RETRY_MILLIS;
     private boolean isLost;
@@ -64,7 +64,7 @@
         this.clock = clock;
         this.events = events;
         this.listener = listener;
-        this.age = new BeliefAge(clock);
+        this.age = new StateAge(clock);
     }
 
     /** Starts to read, or reads at once where the present read may be stale. */
@@ -78,7 +78,7 @@
         round++;
     }
 
-    BeliefAge age() {
+    StateAge age() {
         return age;
     }
 
@@ -95,7 +95,7 @@
         if (isStopped || current != round) {
             return;
         }
-        BeliefAge.Moment asked = age.now();
+        StateAge.ClockReading asked = age.now();
         boolean isSnapshot = nextOffset < 0;
         CompletableFuture<LogSlice> reading = isSnapshot
                 ? store.readNewest(topic, settings.timeoutMillis())
@@ -112,7 +112,7 @@
         });
     }
 
-    private void onSlice(int current, BeliefAge.Moment asked, boolean isSnapshot, LogSlice slice) {
+    private void onSlice(int current, StateAge.ClockReading asked, boolean isSnapshot, LogSlice slice) {
         if (isLost) {
             isLost = false;
             regainedMillis = clock.monotonicMillis();
@@ -134,12 +134,12 @@
     }
 
     /** A read that waited in vain saw the log as it was at the end of its wait. */
-    private BeliefAge.Moment asOf(BeliefAge.Moment asked, boolean isSnapshot, LogSlice slice) {
+    private StateAge.ClockReading asOf(StateAge.ClockReading asked, boolean isSnapshot, LogSlice slice) {
         boolean hasWaited = !isSnapshot
                 && slice.records().isEmpty()
                 && clock.monotonicMillis() - asked.monotonicMillis() >= settings.waitMillis();
         return hasWaited
-                ? new BeliefAge.Moment(
+                ? new StateAge.ClockReading(
                         asked.monotonicMillis() + settings.waitMillis(), asked.wallMillis() + settings.waitMillis())
                 : asked;
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/PeerExchange.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/PeerExchange.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.jasminehub.core.balance.BeliefAge;
 import org.jasminehub.core.balance.EndpointLoads;
+import org.jasminehub.core.balance.StateAge;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.identity.EndpointId;
 import org.jasminehub.core.time.Clock;
@@ -61,8 +61,8 @@
     private final EventSink events;
     private final Map<EndpointAddress, PeerLink> links = new HashMap<>();
     private final Map<String, PeerView> peers = new TreeMap<>();
-    private final TreeMap<Long, BeliefAge.Moment> sentTokens = new TreeMap<>();
-    private final BeliefAge moments;
+    private final TreeMap<Long, StateAge.ClockReading> sentTokens = new TreeMap<>();
+    private final StateAge moments;
     private Runnable onLoads = () -> {};
     private Supplier<Optional<Map<EndpointId, Double>>> paces = Optional::empty;
     private PeerStatus lastSent = PeerStatus.getDefaultInstance();
@@ -93,7 +93,7 @@
         this.timer = timer;
         this.clock = clock;
         this.events = events;
-        this.moments = new BeliefAge(clock);
+        this.moments = new StateAge(clock);
     }
 
     /** Tells the peers from now on which endpoints {@code slow} names, if this instance is the one that knows. */
@@ -213,7 +213,7 @@
                         .setEndpointHash(endpoint.value().hashCode())
                         .setCalls(calls)));
         paces.get().ifPresent(slow -> {
-            loads.onPaces(slow);
+            loads.onSlowdowns(slow);
             status.setHasPaces(true);
             new TreeMap<>(slow)
                     .forEach((endpoint, pace) -> status.addPaces(EndpointPace.newBuilder()
@@ -290,14 +290,14 @@
         });
         loads.onPeerLoads(name, calls);
         if (status.getHasPaces()) {
-            loads.onPaces(slow);
+            loads.onSlowdowns(slow);
         }
         onLoads.run();
     }
 
     /** An echo is at most as old as the status that it answers, whatever happened to it on the way. */
     private void onEcho(PeerEcho echo) {
-        BeliefAge.Moment asked = sentTokens.get(echo.getToken());
+        StateAge.ClockReading asked = sentTokens.get(echo.getToken());
         if (asked != null && echo.getConfigurationVersion() == version() && version() > 0) {
             configuration.onPeerKnows(asked, echo.getConfigurationAgeMillis());
         }
