--- a/gateway/src/main/java/org/jasminehub/gateway/DirectoryHandler.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/DirectoryHandler.java
@@ -11,10 +11,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import org.jasminehub.core.identity.FailureDomain;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
 import org.jasminehub.gateway.net.CallerHandler;
 import org.jasminehub.gateway.net.CallerRequest;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.platform.hosted.DirectoryAdapter;
 import org.jasminehub.wire.generated.InstanceRecord;
 
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public CallerExchange handle(CallerRequest request, CallerAnswer answer) {
+    public CallerExchange handle(CallerRequest request, CallerResponse answer) {
         if (DirectoryAdapter.isReadiness(request.uri())) {
             respond(answer, isReady.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else if (DirectoryAdapter.isResolution(request.uri())) {
@@ -45,10 +45,10 @@
         } else {
             respond(answer, HttpResponseStatus.NOT_FOUND);
         }
-        return CallerExchange.NOTHING_OPEN;
+        return CallerExchange.COMPLETED;
     }
 
-    private void resolve(CallerRequest request, CallerAnswer answer) {
+    private void resolve(CallerRequest request, CallerResponse answer) {
         FailureDomain near = DirectoryAdapter.callerDomain(request.uri());
         List<InstanceRecord> known = new ArrayList<>(instances.get());
         if (known.isEmpty()) {
@@ -65,10 +65,10 @@
         long ttlMillis = (long) Math.min(TTL_MILLIS, settings.addressTtlSeconds() * TimeUnit.SECONDS.toMillis(1));
         HttpHeaders headers = new DefaultHttpHeaders(false);
         headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-        answer.whole(HttpResponseStatus.OK, headers, DirectoryAdapter.encode(addresses, ttlMillis));
+        answer.complete(HttpResponseStatus.OK, headers, DirectoryAdapter.encode(addresses, ttlMillis));
     }
 
-    private static void respond(CallerAnswer answer, HttpResponseStatus status) {
-        answer.whole(status, new DefaultHttpHeaders(false), new byte[0]);
+    private static void respond(CallerResponse answer, HttpResponseStatus status) {
+        answer.complete(status, new DefaultHttpHeaders(false), new byte[0]);
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
@@ -181,7 +181,8 @@
         PeerServer.start(loop, EndpointAddress.parse(settings.peerAddress()), peers);
         loop.execute(() -> {
             configuration.start(this::review);
-            endpoints.start(this::onEndpointsChanged, gone -> client.forget(addressOf(gone.host(), gone.port())));
+            endpoints.start(
+                    this::onEndpointsChanged, gone -> client.closeConnections(addressOf(gone.host(), gone.port())));
             instances.start(() -> {
                 budget.setInstances(peers.maxInstances());
                 peers.onDirectoryChanged();
@@ -341,7 +342,7 @@
             if (open == null) {
                 sequence.finish();
             } else {
-                open.stopKeeping();
+                open.disableKeepAlive();
                 sequence.run(open, dispatcher::openCalls);
             }
         });
--- a/gateway/src/main/java/org/jasminehub/gateway/Main.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/Main.java
@@ -13,8 +13,8 @@
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.gateway.control.ControlEvent;
 import org.jasminehub.gateway.control.ControlEventKind;
-import org.jasminehub.gateway.telemetry.MeteredEvents;
-import org.jasminehub.gateway.telemetry.QueuedEvents;
+import org.jasminehub.gateway.telemetry.AsyncEventSink;
+import org.jasminehub.gateway.telemetry.MeteringEventSink;
 import org.jasminehub.runtime.log.EventLog;
 import org.jasminehub.runtime.settings.SettingsLoader;
 import org.jasminehub.runtime.time.SystemClock;
@@ -103,9 +103,9 @@
         if (isCheck) {
             return EXIT_OK;
         }
-        QueuedEvents log = new QueuedEvents(clock, new EventLog(settings.instance())::emitAt, LOG_CAPACITY);
+        AsyncEventSink log = new AsyncEventSink(clock, new EventLog(settings.instance())::emitAt, LOG_CAPACITY);
         MetricRegistry metrics = new MetricRegistry();
-        EventSink events = new MeteredEvents(log, metrics);
+        EventSink events = new MeteringEventSink(log, metrics);
         EntryProgram program = new EntryProgram(settings, clock, events, metrics);
         program.start();
         stopWith(program::stop, log);
@@ -119,7 +119,7 @@
         if (isCheck) {
             return EXIT_OK;
         }
-        QueuedEvents log = new QueuedEvents(clock, new EventLog(settings.instance())::emitAt, LOG_CAPACITY);
+        AsyncEventSink log = new AsyncEventSink(clock, new EventLog(settings.instance())::emitAt, LOG_CAPACITY);
         RankAgentProgram program = new RankAgentProgram(settings, clock, log);
         program.start();
         stopWith(program::stop, log);
@@ -127,7 +127,7 @@
         return EXIT_OK;
     }
 
-    private static void stopWith(Runnable stop, QueuedEvents log) {
+    private static void stopWith(Runnable stop, AsyncEventSink log) {
         Thread hook = new Thread(
                 () -> {
                     stop.run();
--- a/gateway/src/main/java/org/jasminehub/gateway/RankAgentProgram.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/RankAgentProgram.java
@@ -11,10 +11,10 @@
 import org.jasminehub.gateway.control.ControlEventKind;
 import org.jasminehub.gateway.control.InstanceRegistration;
 import org.jasminehub.gateway.experts.RankAgentService;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.gateway.net.EndpointClient;
 import org.jasminehub.gateway.net.StoreConnection;
-import org.jasminehub.gateway.net.WholeCaller;
 import org.jasminehub.gateway.peer.PeerServer;
 import org.jasminehub.platform.hosted.StoreClient;
 import org.jasminehub.wire.generated.InstanceRecord;
@@ -48,7 +48,8 @@
                 store,
                 (delayMillis, action) -> loop.schedule(action, delayMillis, TimeUnit.MILLISECONDS),
                 events);
-        WholeCaller engine = new WholeCaller(client, EndpointAddress.parse(settings.engineAddress()), "engine");
+        BufferedHttpClient engine =
+                new BufferedHttpClient(client, EndpointAddress.parse(settings.engineAddress()), "engine");
         this.agent = new RankAgentService(loop, clock, engine, events);
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/Rehearsal.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/Rehearsal.java
@@ -9,11 +9,11 @@
 import org.jasminehub.core.experts.placement.PlacementPlanner;
 import org.jasminehub.core.experts.placement.ReplicaMap;
 import org.jasminehub.core.time.Clock;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.gateway.net.EndpointClient;
-import org.jasminehub.gateway.net.WholeCaller;
-import org.jasminehub.gateway.telemetry.MeteredEvents;
-import org.jasminehub.gateway.telemetry.QueuedEvents;
+import org.jasminehub.gateway.telemetry.AsyncEventSink;
+import org.jasminehub.gateway.telemetry.MeteringEventSink;
 import org.jasminehub.platform.hosted.RouteTableAdapter;
 import org.jasminehub.platform.hosted.SampleConfiguration;
 import org.jasminehub.runtime.log.EventLog;
@@ -32,9 +32,9 @@
 
     /** Runs, and returns when enough classes are loaded. */
     static void run(Clock clock) {
-        QueuedEvents log = new QueuedEvents(clock, new EventLog("rehearsal")::emitAt, LOG_CAPACITY);
+        AsyncEventSink log = new AsyncEventSink(clock, new EventLog("rehearsal")::emitAt, LOG_CAPACITY);
         MetricRegistry metrics = new MetricRegistry();
-        EventSink events = new MeteredEvents(log, metrics);
+        EventSink events = new MeteringEventSink(log, metrics);
         GatewaySettings settings = new GatewaySettings(
                 "rehearsal",
                 "here",
@@ -58,7 +58,8 @@
         ReplicaMap map = new ReplicaMap(2, new int[][][] {{{0}, {1}}});
         PlacementPlanner.plan(map, new double[][] {{3, 1}}, new double[] {1, 1}, new PlacementLimits(2, 1, 1, 0));
         EndpointClient client = entry.client();
-        WholeCaller caller = new WholeCaller(client, new EndpointAddress("127.0.0.1", entry.callerPort()), "rehearsal");
+        BufferedHttpClient caller =
+                new BufferedHttpClient(client, new EndpointAddress("127.0.0.1", entry.callerPort()), "rehearsal");
         for (int call = 0; call < CALLS; call++) {
             CompletableFuture<Void> answered = new CompletableFuture<>();
             client.loop()
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
@@ -16,19 +16,19 @@
 import org.jasminehub.core.serving.CallKind;
 import org.jasminehub.core.serving.EndpointRecord;
 import org.jasminehub.core.serving.WorkspaceGrant;
-import org.jasminehub.gateway.net.AnswerSink;
 import org.jasminehub.gateway.net.CallerRequest;
 import org.jasminehub.gateway.net.ConnectionUse;
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.gateway.net.Exchange;
 import org.jasminehub.gateway.net.ExchangeFailure;
+import org.jasminehub.gateway.net.ResponseSink;
 import org.jasminehub.platform.hosted.AnswerHeaders;
 import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
 import org.jspecify.annotations.Nullable;
 
 /** One send of a call to one endpoint, and the relay of what comes back. */
-final class Attempt implements AnswerSink {
+final class Attempt implements ResponseSink {
     /** Part of the target latency after which a repeatable call that got nothing is tried elsewhere. */
     private static final double SILENCE_SHARE = 0.65;
 
@@ -171,7 +171,7 @@
     public void onHead(HttpResponseStatus status, HttpHeaders headers) {
         AnswerHeaders read = AnswerHeadersAdapter.decode(status, headers);
         if (read.keepAliveMillis() != null) {
-            call.dispatcher().client().keepIdle(address(), read.keepAliveMillis());
+            call.dispatcher().client().setIdleLimit(address(), read.keepAliveMillis());
         }
         String requestId = call.context().requestId();
         boolean isOthers = read.requestId() != null && !read.requestId().equals(requestId);
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallPipeline.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallPipeline.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Optional;
 import org.jasminehub.core.time.Clock;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
 import org.jasminehub.gateway.net.CallerHandler;
 import org.jasminehub.gateway.net.CallerRequest;
+import org.jasminehub.gateway.net.CallerResponse;
 
 /**
  * Takes calls through the filters and on to an endpoint.
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public CallerExchange handle(CallerRequest request, CallerAnswer answer) {
+    public CallerExchange handle(CallerRequest request, CallerResponse answer) {
         CallContext context = new CallContext(request, clock.monotonicMillis());
         RunningCall call = new RunningCall(context, answer, dispatcher);
         for (CallFilter filter : filters) {
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import org.jasminehub.core.error.ErrorCode;
-import org.jasminehub.gateway.net.CallerAnswer;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
 
 /**
@@ -37,7 +37,7 @@
     }
 
     /** Writes this answer; {@code requestId} is empty where the request had none. */
-    void write(CallerAnswer answer, String requestId) {
+    void write(CallerResponse answer, String requestId) {
         HttpHeaders headers = new DefaultHttpHeaders(false);
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
         CallHeadersAdapter.nameRequest(headers, requestId);
@@ -47,6 +47,6 @@
                     String.format(Locale.ROOT, "%.3f", retryAfterMillis / MILLIS_PER_SECOND));
         }
         String text = code.code() + ": " + reason + "\n";
-        answer.whole(HttpResponseStatus.valueOf(status), headers, text.getBytes(StandardCharsets.UTF_8));
+        answer.complete(HttpResponseStatus.valueOf(status), headers, text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
@@ -14,8 +14,8 @@
 import org.jasminehub.core.serving.Route;
 import org.jasminehub.core.serving.ServiceProfile;
 import org.jasminehub.core.serving.WorkspaceGrant;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jspecify.annotations.Nullable;
 
 /** One call from its admission to its answer, over as many attempts as its route allows. */
@@ -32,7 +32,7 @@
     private static final int LOWEST_PRIORITY = 9;
 
     private final CallContext context;
-    private final CallerAnswer answer;
+    private final CallerResponse answer;
     private final CallDispatcher dispatcher;
     private final long sequence;
     private final Set<EndpointId> tried = new HashSet<>();
@@ -50,7 +50,7 @@
     private boolean isHeadSent;
     private boolean isDone;
 
-    RunningCall(CallContext context, CallerAnswer answer, CallDispatcher dispatcher) {
+    RunningCall(CallContext context, CallerResponse answer, CallDispatcher dispatcher) {
         this.context = context;
         this.answer = answer;
         this.dispatcher = dispatcher;
@@ -68,7 +68,7 @@
         return context;
     }
 
-    CallerAnswer answer() {
+    CallerResponse answer() {
         return answer;
     }
 
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public void onCallerGone() {
+    public void onCallerDisconnected() {
         if (!isDone) {
             end(CallEventKind.CALLER_GONE, 0, "", "after " + sends + " sends");
         }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
@@ -5,7 +5,7 @@
 import org.jasminehub.core.balance.AttemptEnd;
 import org.jasminehub.core.stream.EventSplitter;
 import org.jasminehub.core.stream.StreamEvent;
-import org.jasminehub.gateway.net.CallerAnswer;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.platform.hosted.AnswerHeaders;
 import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
 import org.jspecify.annotations.Nullable;
@@ -29,7 +29,7 @@
     public void begin(HttpResponseStatus answerStatus, HttpHeaders headers, AnswerHeaders read) {
         status = answerStatus;
         if (!call.isHeadSent()) {
-            call.answer().begin(answerStatus, AnswerHeadersAdapter.forCaller(headers), CallerAnswer.UNKNOWN_LENGTH);
+            call.answer().begin(answerStatus, AnswerHeadersAdapter.forCaller(headers), CallerResponse.UNKNOWN_LENGTH);
             call.onHeadSent();
         }
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/WholeRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/WholeRelay.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import java.io.ByteArrayOutputStream;
 import org.jasminehub.core.balance.AttemptEnd;
-import org.jasminehub.gateway.net.CallerAnswer;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.platform.hosted.AnswerHeaders;
 import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
 import org.jspecify.annotations.Nullable;
@@ -25,7 +25,7 @@
     private HttpResponseStatus status = HttpResponseStatus.OK;
     private @Nullable HttpHeaders headers;
     private boolean isNotRun;
-    private long length = CallerAnswer.UNKNOWN_LENGTH;
+    private long length = CallerResponse.UNKNOWN_LENGTH;
 
     WholeRelay(RunningCall call, Attempt attempt) {
         this.call = call;
@@ -39,7 +39,7 @@
         headers = AnswerHeadersAdapter.forCaller(answerHeaders);
         length = answerHeaders.contains(HttpHeaderNames.CONTENT_LENGTH)
                 ? Long.parseLong(answerHeaders.get(HttpHeaderNames.CONTENT_LENGTH))
-                : CallerAnswer.UNKNOWN_LENGTH;
+                : CallerResponse.UNKNOWN_LENGTH;
     }
 
     @Override
@@ -79,7 +79,7 @@
         if (isBegun) {
             call.answer().end();
         } else if (answerHeaders != null) {
-            call.answer().whole(status, answerHeaders, held.toByteArray());
+            call.answer().complete(status, answerHeaders, held.toByteArray());
         }
     }
 
@@ -95,6 +95,6 @@
             return;
         }
         call.onServed(status.code());
-        call.answer().whole(status, answerHeaders, held.toByteArray());
+        call.answer().complete(status, answerHeaders, held.toByteArray());
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/DirectRanks.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/DirectEngineAccess.java
@@ -9,26 +9,28 @@
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.serving.EndpointRecord;
 import org.jasminehub.core.time.Clock;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.gateway.net.EndpointClient;
-import org.jasminehub.gateway.net.WholeCaller;
 import org.jasminehub.wire.generated.PeerEnvelope;
 import org.jasminehub.wire.generated.RankWatch;
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reaches engines at their registered addresses, without the agents beside them. Calls from afar have a price, so this is
- * for the order that must not depend on an agent, and for changes that an agent has left open.
+ * Calls engines at their registered addresses, bypassing their agents.
+ *
+ * <p>Calls from another machine are more expensive than an agent's calls. They are used only for hold orders,
+ * which must not depend on an agent, and to finish a change whose agent has become silent.
  */
-final class DirectRanks {
+final class DirectEngineAccess {
     private final EventLoop loop;
     private final Clock clock;
     private final EventSink events;
     private final EndpointClient client;
     private final Supplier<List<EndpointRecord>> endpoints;
-    private final Map<EndpointAddress, DirectRank> reached = new HashMap<>();
+    private final Map<EndpointAddress, DirectEngine> engines = new HashMap<>();
 
-    DirectRanks(
+    DirectEngineAccess(
             EventLoop loop,
             Clock clock,
             EventSink events,
@@ -41,73 +43,73 @@
         this.endpoints = endpoints;
     }
 
-    /** What an agent does, run in this process, and the way to it. */
-    private record DirectRank(RankAgent agent, RankMessenger orders) {}
+    /** An agent for a remote engine that runs in this process, and the messenger that sends messages to it. */
+    private record DirectEngine(RankAgent agent, RankMessenger messenger) {}
 
-    /** Asks the engines of a group's ranks that nobody speaks for, while a change is open there. */
-    void speakFor(GroupPlacement group) {
-        for (int rank : group.orphanedRanks()) {
-            DirectRank engine = find(group, rank);
+    /** Reads the reports of the engines whose agents are silent while their group is in the middle of a change. */
+    void refreshSilentRanks(GroupPlacement group) {
+        for (int rank : group.silentRanks()) {
+            DirectEngine engine = find(group, rank);
             if (engine != null) {
                 engine.agent().refresh();
             }
         }
     }
 
-    /** Returns a way to give orders to a rank's engine, null where no such engine is registered. */
+    /** Returns a messenger that sends orders to a rank's engine, null if no such engine is registered. */
     @Nullable
-    RankMessenger orders(GroupPlacement group, int rank) {
-        DirectRank engine = find(group, rank);
-        return engine == null ? null : engine.orders();
+    RankMessenger messenger(GroupPlacement group, int rank) {
+        DirectEngine engine = find(group, rank);
+        return engine == null ? null : engine.messenger();
     }
 
     void clear() {
-        reached.clear();
+        engines.clear();
     }
 
-    private @Nullable DirectRank find(GroupPlacement group, int rank) {
-        // While a rank is replaced two endpoints are registered for it; the one that started last is in the group.
+    private @Nullable DirectEngine find(GroupPlacement group, int rank) {
+        // While a rank is being replaced, two endpoints are registered for it; the one started last is in the group.
         return endpoints.get().stream()
                 .filter(endpoint -> endpoint.seat() != null
                         && endpoint.seat().group().equals(group.name())
                         && endpoint.seat().rank() == rank)
                 .max(Comparator.comparingLong(EndpointRecord::startedWallMillis))
-                .map(endpoint -> reached.computeIfAbsent(
+                .map(endpoint -> engines.computeIfAbsent(
                         new EndpointAddress(endpoint.host(), endpoint.port()), address -> open(address, group)))
                 .orElse(null);
     }
 
-    private DirectRank open(EndpointAddress address, GroupPlacement group) {
-        RankAgent agent = new RankAgent(loop, clock, new WholeCaller(client, address, "engine"), events);
-        RankMessenger orders = new RankMessenger() {
+    private DirectEngine open(EndpointAddress address, GroupPlacement group) {
+        RankAgent agent = new RankAgent(loop, clock, new BufferedHttpClient(client, address, "engine"), events);
+        RankMessenger messenger = new RankMessenger() {
             @Override
             public void send(PeerEnvelope message) {
-                agent.onMessage(repliesTo(this, group), message);
+                agent.onMessage(replyHandler(this, group), message);
             }
         };
         agent.onMessage(
-                repliesTo(orders, group),
+                replyHandler(messenger, group),
                 PeerEnvelope.newBuilder()
                         .setRankWatch(RankWatch.getDefaultInstance())
                         .build());
-        return new DirectRank(agent, orders);
+        return new DirectEngine(agent, messenger);
     }
 
-    /** Passes what the engine says to the group's placement, as said by {@code orders}. */
-    private RankMessenger repliesTo(RankMessenger orders, GroupPlacement group) {
+    /** Returns a handler that passes the engine's messages, as sent by {@code messenger}, to the group's placement. */
+    private RankMessenger replyHandler(RankMessenger messenger, GroupPlacement group) {
         return message -> {
             if (message.hasRankStatus()) {
-                if (group.orphanedRanks().contains(message.getRankStatus().getRank())) {
+                if (group.silentRanks().contains(message.getRankStatus().getRank())) {
                     events.emit(new ExpertEvent(
                             ExpertEventKind.ENGINE_REACHED_DIRECTLY,
                             group.name(),
                             message.getRankStatus().getEpoch(),
                             message.getRankStatus().getMapVersion(),
-                            String.valueOf(RankOrders.view(message.getRankStatus()))));
+                            String.valueOf(RankMessageConverter.view(message.getRankStatus()))));
                 }
-                group.onStatus(orders, message.getRankStatus(), true);
+                group.onStatus(messenger, message.getRankStatus(), true);
             } else if (message.hasRankOrderReply()) {
-                group.onReply(orders, message.getRankOrderReply());
+                group.onReply(messenger, message.getRankOrderReply());
             }
         };
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertCoordinator.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertCoordinator.java
@@ -25,21 +25,22 @@
 import org.jasminehub.wire.generated.RankWatch;
 
 /**
- * Places the experts of every group while this instance is the one to do so.
+ * Places the experts of every group while this instance is responsible for it.
  *
- * <p>Several instances may believe that at once; {@link org.jasminehub.core.experts.placement.MapChangePolicy} keeps a
- * group on one map all the same. Used on the process's event loop only.
+ * <p>Several instances may consider themselves responsible at the same time; {@link
+ * org.jasminehub.core.experts.placement.MapChangePolicy} ensures that all ranks of a group still use the same map.
+ * Used on the process's event loop only.
  */
 public final class ExpertCoordinator {
-    /** Agents take a coordinator for gone after some missed watches. */
+    /** An agent closes the connection to a coordinator after several intervals without a message. */
     private static final long WATCH_INTERVAL_MILLIS = 400;
 
-    /** Below this a rank is as fast as the others for all that its report tells. */
-    private static final double SLOW_PACE = 1.2;
+    /** Ranks with a smaller slowdown count as normal, because smaller differences are not significant. */
+    private static final double MIN_SLOWDOWN = 1.2;
 
     private static final long TICK_MILLIS = 50;
 
-    /** An instance that is not responsible takes over within this time after the others know. */
+    /** Interval while not responsible: the time within which an instance notices that it has become responsible. */
     private static final long IDLE_TICK_MILLIS = 250;
 
     private final EventLoop loop;
@@ -52,11 +53,11 @@
     private final Map<EndpointAddress, PeerLink> links = new HashMap<>();
     private final Map<String, GroupPlacement> groups = new HashMap<>();
     private final Supplier<List<EndpointRecord>> endpoints;
-    private final DirectRanks directRanks;
+    private final DirectEngineAccess directEngines;
     private boolean wasResponsible;
-    private long watchedMillis;
+    private long lastWatchMillis;
 
-    /** Creates a coordinator that is not active yet. */
+    /** Creates a coordinator that is inactive until {@link #start} is called. */
     public ExpertCoordinator(
             EventLoop loop,
             Clock clock,
@@ -74,31 +75,35 @@
         this.agents = agents;
         this.layout = layout;
         this.endpoints = endpoints;
-        this.directRanks = new DirectRanks(loop, clock, events, client, endpoints);
+        this.directEngines = new DirectEngineAccess(loop, clock, events, client, endpoints);
         this.isResponsible = isResponsible;
     }
 
-    /** Starts to look whether there is something to do. */
+    /** Checks whether this instance is responsible, advances all groups if it is, and schedules the next check. */
     public void start() {
-        boolean isNow = isResponsible.getAsBoolean() && layout.get().isPlaceable();
-        if (isNow != wasResponsible) {
-            wasResponsible = isNow;
+        boolean isResponsibleNow = isResponsible.getAsBoolean() && layout.get().isPlaceable();
+        if (isResponsibleNow != wasResponsible) {
+            wasResponsible = isResponsibleNow;
             events.emit(new ExpertEvent(
-                    ExpertEventKind.COORDINATION_CHANGED, "", 0, 0, isNow ? "places experts" : "places no experts"));
-            if (!isNow) {
+                    ExpertEventKind.COORDINATION_CHANGED,
+                    "",
+                    0,
+                    0,
+                    isResponsibleNow ? "places experts" : "places no experts"));
+            if (!isResponsibleNow) {
                 links.values().forEach(PeerLink::close);
                 links.clear();
                 groups.clear();
-                directRanks.clear();
+                directEngines.clear();
             }
         }
-        if (isNow) {
+        if (isResponsibleNow) {
             connect();
-            watch();
-            groups.values().forEach(directRanks::speakFor);
+            sendWatches();
+            groups.values().forEach(directEngines::refreshSilentRanks);
             groups.values().forEach(GroupPlacement::advance);
         }
-        timer.runAfter(isNow ? TICK_MILLIS : IDLE_TICK_MILLIS, this::start);
+        timer.runAfter(isResponsibleNow ? TICK_MILLIS : IDLE_TICK_MILLIS, this::start);
     }
 
     /** Returns whether this instance places experts. */
@@ -106,16 +111,16 @@
         return wasResponsible;
     }
 
-    /** Returns how slow the engines say they are, for those that say they are slow. */
+    /** Returns the slowdown of each endpoint whose engine reports that it is slow. */
     public Map<EndpointId, Double> slowEndpoints() {
         Map<EndpointId, Double> slow = new HashMap<>();
         for (EndpointRecord endpoint : endpoints.get()) {
             GroupSeat seat = endpoint.seat();
             GroupPlacement group = seat == null ? null : groups.get(seat.group());
             if (seat != null && group != null) {
-                double pace = group.paces().getOrDefault(seat.rank(), 1.0);
-                if (pace >= SLOW_PACE) {
-                    slow.put(endpoint.id(), pace);
+                double slowdown = group.slowdowns().getOrDefault(seat.rank(), 1.0);
+                if (slowdown >= MIN_SLOWDOWN) {
+                    slow.put(endpoint.id(), slowdown);
                 }
             }
         }
@@ -123,27 +128,27 @@
     }
 
     private void connect() {
-        Set<EndpointAddress> wanted = new HashSet<>();
+        Set<EndpointAddress> currentAddresses = new HashSet<>();
         for (InstanceRecord agent : agents.get()) {
-            wanted.add(new EndpointAddress(agent.getHost(), agent.getPeerPort()));
+            currentAddresses.add(new EndpointAddress(agent.getHost(), agent.getPeerPort()));
         }
-        for (EndpointAddress address : wanted) {
-            links.computeIfAbsent(address, each -> new PeerLink(loop, each, new AgentListener()));
+        for (EndpointAddress address : currentAddresses) {
+            links.computeIfAbsent(address, each -> new PeerLink(loop, each, new AgentMessageHandler()));
         }
         links.entrySet().removeIf(link -> {
-            boolean isUnwanted = !wanted.contains(link.getKey());
-            if (isUnwanted) {
+            boolean isRemoved = !currentAddresses.contains(link.getKey());
+            if (isRemoved) {
                 link.getValue().close();
             }
-            return isUnwanted;
+            return isRemoved;
         });
     }
 
-    private void watch() {
-        if (clock.monotonicMillis() - watchedMillis < WATCH_INTERVAL_MILLIS) {
+    private void sendWatches() {
+        if (clock.monotonicMillis() - lastWatchMillis < WATCH_INTERVAL_MILLIS) {
             return;
         }
-        watchedMillis = clock.monotonicMillis();
+        lastWatchMillis = clock.monotonicMillis();
         links.values().forEach(link -> link.send(watchMessage()));
     }
 
@@ -153,8 +158,8 @@
                 .build();
     }
 
-    /** Hears one agent. */
-    private final class AgentListener implements PeerListener {
+    /** Handles the messages of one agent. */
+    private final class AgentMessageHandler implements PeerListener {
         private RankMessenger messenger = message -> {};
 
         @Override
@@ -168,7 +173,7 @@
             if (message.hasRankStatus() && !message.getRankStatus().getGroup().isEmpty()) {
                 groups.computeIfAbsent(
                                 message.getRankStatus().getGroup(),
-                                name -> new GroupPlacement(name, clock, events, layout, directRanks::orders))
+                                name -> new GroupPlacement(name, clock, events, layout, directEngines::messenger))
                         .onStatus(messenger, message.getRankStatus(), false);
             } else if (message.hasRankOrderReply()) {
                 groups.values().forEach(group -> group.onReply(messenger, message.getRankOrderReply()));
@@ -177,7 +182,7 @@
 
         @Override
         public void onClosed(PeerConnection connection) {
-            // The rank's last word stands until it is too old; a change that is open is finished without the agent.
+            // The rank's last status is used until it is too old; an open change is finished without the agent.
         }
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertEvent.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertEvent.java
@@ -6,10 +6,10 @@
  * A decision on expert maps or its outcome.
  *
  * @param kind what happened
- * @param group the group, empty where none is concerned
- * @param epoch its epoch
- * @param version the map's version, 0 where none is concerned
- * @param detail the inputs that decided
+ * @param group the group, empty if the event concerns none
+ * @param epoch the epoch of the group
+ * @param version the version of the map, 0 if the event concerns none
+ * @param detail the inputs of the decision, or details of the outcome
  */
 public record ExpertEvent(ExpertEventKind kind, String group, long epoch, long version, String detail)
         implements Event {}
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertEventKind.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertEventKind.java
@@ -3,20 +3,20 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** Events of expert maps; numbers 8500 to 8599. */
+/** Kinds of events about expert maps; their numbers are 8500 to 8599. */
 public enum ExpertEventKind implements EventKind {
-    /** A new map was planned. */
+    /** A new map was planned and is being prepared. */
     MAP_PLANNED(8500, Severity.INFO, "A new map is worth its copies and is being prepared."),
-    /** A group uses a new map. */
+    /** All ranks of a group use a new map. */
     MAP_IN_USE(8501, Severity.INFO, "All ranks of a group use a new map."),
-    /** An order failed. */
+    /** A rank refused an order or did not answer it. */
     ORDER_FAILED(8502, Severity.WARNING, "A rank refused an order or did not answer it."),
-    /** Coordination began or ended here. */
+    /** This instance started or stopped placing experts. */
     COORDINATION_CHANGED(8503, Severity.INFO, "This instance began or ceased to place experts."),
-    /** An engine was reached without its agent. */
+    /** An engine answered a direct call while its agent was silent. */
     ENGINE_REACHED_DIRECTLY(
             8505, Severity.WARNING, "An agent is silent in the middle of a change; its engine answered."),
-    /** An engine does not answer its agent. */
+    /** An engine did not answer its agent, or sent an unreadable response. */
     ENGINE_UNREADABLE(8504, Severity.WARNING, "An engine did not answer its agent, or not readably.");
 
     private final int number;
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
@@ -26,57 +26,65 @@
 import org.jasminehub.wire.generated.RankStatus;
 import org.jspecify.annotations.Nullable;
 
-/** One group's placement: plans a map, and gives the orders that bring the group to it. */
+/** Plans expert maps for one group and sends the orders that bring the group to a planned map. */
 final class GroupPlacement {
-    /** A status older than a few heartbeats of its agent decides nothing. */
+    /** A status older than this, about three heartbeats of its agent, is not used for decisions. */
     private static final long FRESH_MILLIS = 700;
 
-    /** Two heartbeats of an agent: after that another way to the rank is worth its price, if a change is open. */
-    private static final long SILENT_MILLIS = 500;
+    /**
+     * Time without a status, two heartbeats of an agent, after which a rank's engine is called directly if a change is
+     * open.
+     */
+    private static final long AGENT_SILENT_MILLIS = 500;
 
-    /** An order that was not answered in this time is given again; agents give up on the engine before. */
+    /** An order without a reply is sent again after this time, which is longer than an agent waits for its engine. */
     private static final long ORDER_RETRY_MILLIS = 260;
 
-    /** A change that is not prepared by then is planned anew. */
+    /** A map that is not prepared on all ranks within this time is abandoned, and a new one is planned. */
     private static final long CHANGE_TIMEOUT_MILLIS = 5_000;
 
-    /** Copies run one after the other on a rank; one or two fit between two changes of what is in demand. */
+    /** Copies run one after the other on a rank, and only one or two fit between two shifts of demand. */
     private static final int COPIES_PER_RANK = 1;
 
-    /** By how much a copy must bring the most loaded rank down, in parts of the mean, to be worth its transfer. */
+    /** Minimum reduction of the load of the most loaded rank, in units of the mean load, that justifies one copy. */
     private static final double MIN_GAIN_PER_COPY = 0.012;
 
-    /** By how much a whole change must, since passes are longer while copies run. */
+    /** The same minimum for a complete change; it is larger because passes take longer while copies run. */
     private static final double MIN_GAIN = 0.2;
 
-    /** Choices in the window below which an expert's share is more chance than demand, for each expert. */
+    /** Minimum number of choices in the window for each expert; with fewer, the shares are mostly random. */
     private static final double MIN_CHOICES_PER_EXPERT = 12;
 
-    /** Versions of different coordinators must differ: the low bits are drawn at random. */
+    /** Number of low bits of a version that are random, so that different coordinators choose different versions. */
     private static final int RANDOM_BITS = 12;
 
     private final String name;
     private final Clock clock;
     private final EventSink events;
     private final Supplier<ExpertLayout> layout;
-    private final DirectOrders direct;
+    private final DirectMessengerLookup directMessengers;
     private final HoldMargin margin;
-    private final Map<Integer, RankSeat> seats = new TreeMap<>();
+    private final Map<Integer, TrackedRank> ranks = new TreeMap<>();
     private @Nullable DemandWindow demand;
     private long nextOrderId = 1;
-    private long wantedVersion;
-    private @Nullable ReplicaMap wantedMap;
-    private long wantedMillis;
-    private long wantedEpoch;
+    private long plannedVersion;
+    private @Nullable ReplicaMap plannedMap;
+    private long plannedMillis;
+    private long plannedEpoch;
     private long baseVersion;
-    private long mapInUse = -1;
-    private long lastPlanned = -1;
+    private long versionInUse = -1;
+    private long lastPlannedVersion = -1;
     private long lastStep = -1;
     private long lastStepMillis;
 
-    /** Creates a placement of the group {@code name}, of which nothing is known yet. */
-    GroupPlacement(String name, Clock clock, EventSink events, Supplier<ExpertLayout> layout, DirectOrders direct) {
-        this.direct = direct;
+    /** Creates a placement of the group {@code name} that has no reports of the group yet. */
+    GroupPlacement(
+            String name,
+            Clock clock,
+            EventSink events,
+            Supplier<ExpertLayout> layout,
+            DirectMessengerLookup directMessengers) {
+        this.directMessengers = directMessengers;
         this.name = name;
         this.clock = clock;
         this.events = events;
@@ -84,11 +92,11 @@
         this.margin = new HoldMargin(clock);
     }
 
-    /** Finds a way to a rank's engine without its agent, null where none is known. */
+    /** Returns a messenger that sends to a rank's engine without its agent, null if the engine is unknown. */
     @FunctionalInterface
-    interface DirectOrders {
+    interface DirectMessengerLookup {
         @Nullable
-        RankMessenger to(GroupPlacement group, int rank);
+        RankMessenger find(GroupPlacement group, int rank);
     }
 
     String name() {
@@ -96,15 +104,15 @@
     }
 
     void onStatus(RankMessenger connection, RankStatus status, boolean isDirect) {
-        RankSeat seat = seats.computeIfAbsent(status.getRank(), RankSeat::new);
-        long @Nullable [] chosen = seat.onStatus(connection, status, isDirect, clock.monotonicMillis());
+        TrackedRank rank = ranks.computeIfAbsent(status.getRank(), TrackedRank::new);
+        long @Nullable [] chosen = rank.onStatus(connection, status, isDirect, clock.monotonicMillis());
         if (chosen != null) {
-            noteDemand(chosen);
+            recordDemand(chosen);
         }
         advance();
     }
 
-    private void noteDemand(long[] chosen) {
+    private void recordDemand(long[] chosen) {
         ExpertLayout experts = layout.get();
         if (!experts.isPlaceable() || chosen.length != experts.layers() * experts.experts()) {
             return;
@@ -116,8 +124,8 @@
     }
 
     void onReply(RankMessenger connection, RankOrderReply reply) {
-        for (RankSeat seat : seats.values()) {
-            @Nullable RankOrder order = seat.takeOrder(connection, reply.getOrderId());
+        for (TrackedRank rank : ranks.values()) {
+            @Nullable RankOrder order = rank.closeOrder(connection, reply.getOrderId());
             if (order == null) {
                 continue;
             }
@@ -125,125 +133,125 @@
                 events.emit(new ExpertEvent(
                         ExpertEventKind.ORDER_FAILED,
                         name,
-                        wantedEpoch,
+                        plannedEpoch,
                         order.version(),
                         order.kind() + " to rank " + order.rank() + ": status " + reply.getStatus()));
                 boolean isRefused = reply.getStatus() > 0;
                 if (isRefused) {
-                    seat.onRefused(clock.monotonicMillis());
+                    rank.onRefused(clock.monotonicMillis());
                 } else {
                     margin.onOrderLost();
                 }
                 if (order.kind() == RankOrder.Kind.HOLD) {
                     margin.onHoldFailed();
                 }
-                if (isRefused && order.kind() == RankOrder.Kind.PREPARE && order.version() == wantedVersion) {
-                    wantedVersion = 0;
+                if (isRefused && order.kind() == RankOrder.Kind.PREPARE && order.version() == plannedVersion) {
+                    plannedVersion = 0;
                 }
             } else if (order.kind() == RankOrder.Kind.PREPARE) {
-                seat.onPrepareTaken(order.version());
+                rank.onPrepareAccepted(order.version());
             } else if (order.kind() == RankOrder.Kind.HOLD) {
-                seat.onHoldTaken(order.step(), clock.monotonicMillis());
+                rank.onHoldAccepted(order.step(), clock.monotonicMillis());
             } else if (order.kind() == RankOrder.Kind.RELEASE) {
-                seat.onReleaseTaken();
+                rank.onReleaseAccepted();
             }
             advance();
         }
     }
 
     /**
-     * Returns the ranks that nobody speaks for although the group is in the middle of a change, which must not stay
-     * there: a step that is held stops the whole group.
+     * Returns the ranks without a recent status while the group is in the middle of a change, else none. Such a change
+     * must be finished without their agents, because a held step stops all ranks of the group.
      */
-    List<Integer> orphanedRanks() {
-        long fromMillis = clock.monotonicMillis() - SILENT_MILLIS;
-        List<RankSeat> fresh = seats.values().stream()
-                .filter(seat -> seat.heardMillis() >= fromMillis)
+    List<Integer> silentRanks() {
+        long fromMillis = clock.monotonicMillis() - AGENT_SILENT_MILLIS;
+        List<TrackedRank> fresh = ranks.values().stream()
+                .filter(rank -> rank.lastStatusMillis() >= fromMillis)
                 .toList();
-        boolean isInChange = seats.values().stream().anyMatch(RankSeat::isInChange) || isStalled(fresh);
+        boolean isInChange = ranks.values().stream().anyMatch(TrackedRank::isInChange) || isStalled(fresh);
         int size = fresh.stream()
-                .mapToInt(seat -> seat.status().getGroupSize())
+                .mapToInt(rank -> rank.status().getGroupSize())
                 .max()
                 .orElse(0);
         if (!isInChange) {
             return List.of();
         }
-        List<Integer> heard = fresh.stream().map(RankSeat::rank).toList();
+        List<Integer> freshRanks = fresh.stream().map(TrackedRank::rank).toList();
         return IntStream.range(0, size)
                 .boxed()
-                .filter(rank -> !heard.contains(rank))
+                .filter(rank -> !freshRanks.contains(rank))
                 .toList();
     }
 
-    /** A group that has work and begins no step may be held at a rank that cannot be heard. */
-    private boolean isStalled(List<RankSeat> fresh) {
+    /** Returns whether the group has work but begins no step: a rank without a recent status may be holding one. */
+    private boolean isStalled(List<TrackedRank> fresh) {
         long step =
-                fresh.stream().mapToLong(seat -> seat.status().getStep()).max().orElse(0);
-        boolean hasWork = fresh.stream().anyMatch(seat -> seat.status().getRunning() > 0);
+                fresh.stream().mapToLong(rank -> rank.status().getStep()).max().orElse(0);
+        boolean hasWork = fresh.stream().anyMatch(rank -> rank.status().getRunning() > 0);
         if (step != lastStep || !hasWork) {
             lastStep = step;
             lastStepMillis = clock.monotonicMillis();
         }
-        return clock.monotonicMillis() - lastStepMillis >= SILENT_MILLIS;
+        return clock.monotonicMillis() - lastStepMillis >= AGENT_SILENT_MILLIS;
     }
 
-    /** Returns how slow each rank says it is, 1 where it says nothing, by rank. */
-    Map<Integer, Double> paces() {
-        Map<Integer, Double> paces = new TreeMap<>();
-        seats.values()
-                .forEach(
-                        seat -> paces.put(seat.rank(), Math.max(1, seat.status().getPace())));
-        return paces;
+    /** Returns the reported slowdown of each rank by rank number, 1 for a rank that reports none. */
+    Map<Integer, Double> slowdowns() {
+        Map<Integer, Double> slowdowns = new TreeMap<>();
+        ranks.values()
+                .forEach(rank ->
+                        slowdowns.put(rank.rank(), Math.max(1, rank.status().getPace())));
+        return slowdowns;
     }
 
-    /** Gives the orders that are due, or plans a change where none runs. */
+    /** Sends the orders that are due, and plans a change if none is in progress. */
     void advance() {
         List<RankView> views = freshViews();
         if (views.isEmpty()) {
             return;
         }
         long epoch = views.get(0).epoch();
-        noteMapInUse(views, epoch);
-        boolean isOutdated = epoch != wantedEpoch
+        updateMapInUse(views, epoch);
+        boolean isOutdated = epoch != plannedEpoch
                 || views.stream().anyMatch(view -> view.mapVersion() != baseVersion)
-                || clock.monotonicMillis() - wantedMillis > CHANGE_TIMEOUT_MILLIS
-                || isOvertaken(views);
-        if (wantedVersion > 0 && isOutdated) {
-            wantedVersion = 0;
+                || clock.monotonicMillis() - plannedMillis > CHANGE_TIMEOUT_MILLIS
+                || isPlanObsolete(views);
+        if (plannedVersion > 0 && isOutdated) {
+            plannedVersion = 0;
         }
-        List<RankOrder> orders = MapChangePolicy.nextOrders(views, wantedVersion, margin.steps());
-        if (orders.isEmpty() && wantedVersion == 0 && isSettled(views)) {
+        List<RankOrder> orders = MapChangePolicy.nextOrders(views, plannedVersion, margin.steps());
+        if (orders.isEmpty() && plannedVersion == 0 && isSettled(views)) {
             plan(views, epoch);
-            orders = MapChangePolicy.nextOrders(views, wantedVersion, margin.steps());
+            orders = MapChangePolicy.nextOrders(views, plannedVersion, margin.steps());
         }
         for (RankOrder order : orders) {
-            give(order, epoch);
+            sendOrder(order, epoch);
         }
     }
 
-    /** What is being copied answers a demand that has passed; copies for the present one cannot begin too soon. */
-    private boolean isOvertaken(List<RankView> views) {
+    /** Returns whether demand has shifted since the change was planned, so that a new plan is needed. */
+    private boolean isPlanObsolete(List<RankView> views) {
         DemandWindow window = demand;
         return window != null
                 && window.isSettled()
-                && window.lastShiftMillis() > wantedMillis
+                && window.lastShiftMillis() > plannedMillis
                 && !MapChangePolicy.hasHeldStep(views);
     }
 
-    private void noteMapInUse(List<RankView> views, long epoch) {
+    private void updateMapInUse(List<RankView> views, long epoch) {
         long version = views.get(0).mapVersion();
         boolean isUniform = views.stream().allMatch(view -> view.mapVersion() == version);
-        if (isUniform && version != mapInUse) {
-            mapInUse = version;
+        if (isUniform && version != versionInUse) {
+            versionInUse = version;
             margin.reset();
             events.emit(new ExpertEvent(
                     ExpertEventKind.MAP_IN_USE,
                     name,
                     epoch,
                     version,
-                    version == lastPlanned
-                            ? "after " + (clock.monotonicMillis() - wantedMillis) + " ms"
-                            : "not planned here"));
+                    version == lastPlannedVersion
+                            ? "after " + (clock.monotonicMillis() - plannedMillis) + " ms"
+                            : "not planned by this instance"));
         }
     }
 
@@ -256,38 +264,38 @@
         List<RankView> views = new ArrayList<>();
         long fromMillis = clock.monotonicMillis() - FRESH_MILLIS;
         int size = 0;
-        for (RankSeat seat : seats.values()) {
-            if (seat.heardMillis() < fromMillis) {
+        for (TrackedRank rank : ranks.values()) {
+            if (rank.lastStatusMillis() < fromMillis) {
                 return List.of();
             }
-            size = Math.max(size, seat.status().getGroupSize());
-            views.add(seat.view(clock.monotonicMillis()));
+            size = Math.max(size, rank.status().getGroupSize());
+            views.add(rank.view(clock.monotonicMillis()));
         }
         long epoch = views.isEmpty() ? 0 : views.get(0).epoch();
-        boolean isWhole = size > 0
+        boolean isComplete = size > 0
                 && views.size() == size
                 && views.stream().allMatch(view -> view.epoch() == epoch && view.isOpen());
-        return isWhole ? views : List.of();
+        return isComplete ? views : List.of();
     }
 
-    private void give(RankOrder order, long epoch) {
-        RankSeat seat = seats.get(order.rank());
-        if (seat == null || !seat.mayOrder(order, clock.monotonicMillis(), ORDER_RETRY_MILLIS)) {
+    private void sendOrder(RankOrder order, long epoch) {
+        TrackedRank rank = ranks.get(order.rank());
+        if (rank == null || !rank.canSend(order, clock.monotonicMillis(), ORDER_RETRY_MILLIS)) {
             return;
         }
-        ReplicaMap map = wantedMap;
-        List<List<List<Integer>>> lists =
+        ReplicaMap map = plannedMap;
+        List<List<List<Integer>>> experts =
                 order.kind() == RankOrder.Kind.PREPARE && map != null ? map.toLists() : List.of();
         long id = nextOrderId++;
-        // The agent's machine may freeze right after it has given an order, and its engine cannot be reached then. An
-        // engine that holds a step must stay in reach, so this order is given from here.
-        RankMessenger via = order.kind() == RankOrder.Kind.HOLD ? direct.to(this, order.rank()) : null;
-        seat.send(
+        // The agent's machine may freeze right after the agent has forwarded an order; its engine is unreachable then.
+        // An engine that holds a step must be reachable, so a hold order is sent to the engine directly.
+        RankMessenger via = order.kind() == RankOrder.Kind.HOLD ? directMessengers.find(this, order.rank()) : null;
+        rank.send(
                 order,
                 id,
                 clock.monotonicMillis(),
                 PeerEnvelope.newBuilder()
-                        .setRankOrderRequest(RankOrders.request(id, order, epoch, lists))
+                        .setRankOrderRequest(RankMessageConverter.request(id, order, epoch, experts))
                         .build(),
                 via);
     }
@@ -299,7 +307,7 @@
             return;
         }
         if (MapChangePolicy.hasHeldStep(views)) {
-            want(current, views, epoch, "releases a step that was held for a change that was given up");
+            startChange(current, views, epoch, "current map again, to release a step held for an abandoned change");
             return;
         }
         DemandWindow window = demand;
@@ -311,18 +319,18 @@
         if (choices < MIN_CHOICES_PER_EXPERT * experts.layers() * experts.experts()) {
             return;
         }
-        double[] paces =
-                paces().values().stream().mapToDouble(Double::doubleValue).toArray();
+        double[] slowdowns =
+                slowdowns().values().stream().mapToDouble(Double::doubleValue).toArray();
         PlacementPlan plan = PlacementPlanner.plan(
                 current,
                 load,
-                paces,
+                slowdowns,
                 new PlacementLimits(
                         experts.placesPerRank(), experts.sparePlaces(), COPIES_PER_RANK, MIN_GAIN_PER_COPY));
         if (plan.skewBefore() - plan.skewAfter() < MIN_GAIN) {
             return;
         }
-        want(
+        startChange(
                 plan.map(),
                 views,
                 epoch,
@@ -335,7 +343,7 @@
                         choices));
     }
 
-    private void want(ReplicaMap map, List<RankView> views, long epoch, String reason) {
+    private void startChange(ReplicaMap map, List<RankView> views, long epoch, String reason) {
         long newest = 0;
         for (RankView view : views) {
             newest = Math.max(
@@ -343,28 +351,28 @@
         }
         newest = Math.max(
                 newest,
-                seats.values().stream()
-                        .mapToLong(RankSeat::newestPrepared)
+                ranks.values().stream()
+                        .mapToLong(TrackedRank::acceptedPrepareVersion)
                         .max()
                         .orElse(0));
         long random = ThreadLocalRandom.current().nextLong(1L << RANDOM_BITS);
-        wantedVersion = ((newest >> RANDOM_BITS) + 1 << RANDOM_BITS) + random;
-        lastPlanned = wantedVersion;
-        wantedMap = map;
-        wantedMillis = clock.monotonicMillis();
-        wantedEpoch = epoch;
+        plannedVersion = ((newest >> RANDOM_BITS) + 1 << RANDOM_BITS) + random;
+        lastPlannedVersion = plannedVersion;
+        plannedMap = map;
+        plannedMillis = clock.monotonicMillis();
+        plannedEpoch = epoch;
         baseVersion = views.get(0).mapVersion();
-        events.emit(new ExpertEvent(ExpertEventKind.MAP_PLANNED, name, epoch, wantedVersion, reason));
+        events.emit(new ExpertEvent(ExpertEventKind.MAP_PLANNED, name, epoch, plannedVersion, reason));
     }
 
     private @Nullable ReplicaMap currentMap(ExpertLayout experts) {
-        int[][][] holdings = new int[experts.layers()][seats.size()][];
-        for (RankSeat seat : seats.values()) {
-            if (seat.status().getLayersCount() != experts.layers()) {
+        int[][][] holdings = new int[experts.layers()][ranks.size()][];
+        for (TrackedRank rank : ranks.values()) {
+            if (rank.status().getLayersCount() != experts.layers()) {
                 return null;
             }
             for (int layer = 0; layer < experts.layers(); layer++) {
-                holdings[layer][seat.rank()] = seat.status().getLayers(layer).getExpertsList().stream()
+                holdings[layer][rank.rank()] = rank.status().getLayers(layer).getExpertsList().stream()
                         .mapToInt(Integer::intValue)
                         .toArray();
             }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/RankAgent.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/RankAgent.java
@@ -10,7 +10,7 @@
 import org.jasminehub.core.experts.placement.RankOrder;
 import org.jasminehub.core.experts.placement.RankView;
 import org.jasminehub.core.time.Clock;
-import org.jasminehub.gateway.net.WholeCaller;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.platform.hosted.EngineAdapter;
 import org.jasminehub.platform.hosted.EngineCall;
 import org.jasminehub.platform.hosted.EngineReport;
@@ -23,52 +23,52 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sits beside one engine: tells coordinators what the engine reports, and passes their orders on to it.
+ * Forwards the reports of one engine to coordinators, and their orders to the engine.
  *
- * <p>It decides nothing and keeps nothing but what it last read. Used on its event loop only.
+ * <p>It makes no decisions and stores only what it last read from the engine. Used on its event loop only.
  */
 final class RankAgent {
-    /** The engine is on the same machine and its report costs it nothing. */
+    /** Short, because the engine is on the same machine and its report costs it nothing. */
     private static final long REPORT_INTERVAL_MILLIS = 100;
 
-    /** While a copy runs or a map is armed its end is awaited, since the whole change waits for the last rank. */
+    /** Interval while a copy runs or a map is armed; shorter because all ranks wait for the last one. */
     private static final long CHANGING_INTERVAL_MILLIS = 30;
 
-    /** A shift of demand is answered the sooner the sooner it shows; a pass of a loaded group takes about as long. */
+    /** Short, so that a shift of demand is detected early; a pass of a loaded group takes about this long. */
     private static final long COUNTS_INTERVAL_MILLIS = 95;
 
-    /** A status is sent at least this often, so that a coordinator knows the agent alive. */
+    /** Maximum time between two statuses; coordinators detect a silent agent by it. */
     private static final long HEARTBEAT_MILLIS = 240;
 
-    /** The engine answers in a few milliseconds. */
+    /** Long compared with the few milliseconds in which the engine normally answers. */
     private static final long READ_TIMEOUT_MILLIS = 150;
 
-    /** The same for orders; a step may be held meanwhile, so one that got lost is given again soon. */
+    /** Shorter than for reads, because a step may be held meanwhile and a lost order must be sent again soon. */
     private static final long ORDER_TIMEOUT_MILLIS = 60;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final WholeCaller engine;
+    private final BufferedHttpClient engine;
     private final EventSink events;
     private final Map<RankMessenger, Boolean> watchers = new HashMap<>();
     private RankStatus status = RankStatus.getDefaultInstance();
-    private RankStatus sent = status;
-    private long sentMillis;
-    private long countsMillis;
+    private RankStatus lastSent = status;
+    private long lastSentMillis;
+    private long lastCountsMillis;
     private boolean isUnreadable;
     private boolean hasFreshCounts;
     private String holdingsKey = "";
-    private long preparing;
+    private long preparingVersion;
 
-    /** Creates an agent of the engine that {@code engine} calls. */
-    RankAgent(EventLoop loop, Clock clock, WholeCaller engine, EventSink events) {
+    /** Creates an agent of the engine that {@code engine} is connected to. */
+    RankAgent(EventLoop loop, Clock clock, BufferedHttpClient engine, EventSink events) {
         this.loop = loop;
         this.clock = clock;
         this.engine = engine;
         this.events = events;
     }
 
-    /** Starts to read the engine's reports. */
+    /** Starts reading the engine's reports periodically. */
     void start() {
         tick();
     }
@@ -77,15 +77,15 @@
         if (!watchers.isEmpty()) {
             refresh();
         }
-        boolean isChanging = status.getPreparedVersion() < preparing || status.getArmedVersion() > 0;
+        boolean isChanging = status.getPreparedVersion() < preparingVersion || status.getArmedVersion() > 0;
         long nextMillis = isChanging ? CHANGING_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS;
         loop.schedule(this::tick, nextMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads the engine's report and passes it on. */
+    /** Reads the engine's report and sends it to the watchers; never completes exceptionally. */
     CompletableFuture<Void> refresh() {
         return call(EngineAdapter.report())
-                .thenAccept(answer -> onReport(EngineAdapter.decodeReport(answer.body())))
+                .thenAccept(response -> onReport(EngineAdapter.decodeReport(response.body())))
                 .handle((done, failure) -> null);
     }
 
@@ -108,7 +108,7 @@
                 .setWaiting(report.waiting())
                 .setPace(report.pace());
         if (view.epoch() != status.getEpoch()) {
-            preparing = 0;
+            preparingVersion = 0;
         }
         String key = view.epoch() + "/" + view.mapVersion() + "/" + report.startedWallMillis();
         if (!key.equals(holdingsKey)) {
@@ -116,17 +116,17 @@
             readHoldings(key);
         }
         status = next.build();
-        if (watchers.containsValue(true) && nowMillis() - countsMillis >= COUNTS_INTERVAL_MILLIS) {
-            countsMillis = nowMillis();
+        if (watchers.containsValue(true) && nowMillis() - lastCountsMillis >= COUNTS_INTERVAL_MILLIS) {
+            lastCountsMillis = nowMillis();
             readCounts();
         }
         push();
     }
 
     private void readHoldings(String key) {
-        call(EngineAdapter.holdings()).thenAccept(answer -> {
-            List<List<Integer>> layers = EngineAdapter.decodeHoldings(answer.body());
-            if (EngineAdapter.decodeHoldingsVersion(answer.body()) != status.getMapVersion()) {
+        call(EngineAdapter.holdings()).thenAccept(response -> {
+            List<List<Integer>> layers = EngineAdapter.decodeHoldings(response.body());
+            if (EngineAdapter.decodeHoldingsVersion(response.body()) != status.getMapVersion()) {
                 return;
             }
             RankStatus.Builder next = status.toBuilder().clearLayers();
@@ -138,31 +138,31 @@
     }
 
     private void readCounts() {
-        call(EngineAdapter.counts()).thenAccept(answer -> {
+        call(EngineAdapter.counts()).thenAccept(response -> {
             status = status.toBuilder()
                     .clearExpertCounts()
-                    .addAllExpertCounts(EngineAdapter.decodeCounts(answer.body()))
+                    .addAllExpertCounts(EngineAdapter.decodeCounts(response.body()))
                     .build();
             hasFreshCounts = true;
             push();
         });
     }
 
-    private CompletableFuture<WholeCaller.Answer> call(EngineCall call) {
+    private CompletableFuture<BufferedHttpClient.Response> call(EngineCall call) {
         return engine.call(call.method(), call.uri(), EngineCall.CONTENT_TYPE, call.body(), READ_TIMEOUT_MILLIS)
-                .whenComplete((answer, failure) -> noteReadable(call, failure))
-                .thenApply(answer -> {
-                    if (answer.body().length == 0) {
-                        throw new RecordRejectedException(call.uri(), "status " + answer.status(), "a body");
+                .whenComplete((response, failure) -> updateReadability(call, failure))
+                .thenApply(response -> {
+                    if (response.body().length == 0) {
+                        throw new RecordRejectedException(call.uri(), "status " + response.status(), "a body");
                     }
-                    return answer;
+                    return response;
                 });
     }
 
-    private void noteReadable(EngineCall call, @Nullable Throwable failure) {
-        boolean was = isUnreadable;
+    private void updateReadability(EngineCall call, @Nullable Throwable failure) {
+        boolean wasUnreadable = isUnreadable;
         isUnreadable = failure != null;
-        if (failure != null && !was) {
+        if (failure != null && !wasUnreadable) {
             events.emit(new ExpertEvent(
                     ExpertEventKind.ENGINE_UNREADABLE,
                     status.getGroup(),
@@ -172,62 +172,65 @@
         }
     }
 
-    /** Sends what is new to the watchers: counts only when they were read again, the rest when it changed. */
+    /** Sends the status if it changed or a heartbeat is due, with counts only if they were read again. */
     private void push() {
-        RankStatus plain = status.toBuilder().clearExpertCounts().build();
-        boolean isSame = plain.toBuilder()
+        RankStatus statusWithoutCounts = status.toBuilder().clearExpertCounts().build();
+        boolean isUnchanged = statusWithoutCounts.toBuilder()
                 .clearStep()
                 .build()
-                .equals(sent.toBuilder().clearStep().build());
-        if (isSame && !hasFreshCounts && nowMillis() - sentMillis < HEARTBEAT_MILLIS) {
+                .equals(lastSent.toBuilder().clearStep().build());
+        if (isUnchanged && !hasFreshCounts && nowMillis() - lastSentMillis < HEARTBEAT_MILLIS) {
             return;
         }
-        sentMillis = nowMillis();
-        sent = plain;
+        lastSentMillis = nowMillis();
+        lastSent = statusWithoutCounts;
         PeerEnvelope withCounts = PeerEnvelope.newBuilder()
-                .setRankStatus(hasFreshCounts ? status : plain)
+                .setRankStatus(hasFreshCounts ? status : statusWithoutCounts)
                 .build();
         PeerEnvelope withoutCounts =
-                PeerEnvelope.newBuilder().setRankStatus(plain).build();
+                PeerEnvelope.newBuilder().setRankStatus(statusWithoutCounts).build();
         hasFreshCounts = false;
         watchers.forEach((watcher, wantsCounts) -> watcher.send(wantsCounts ? withCounts : withoutCounts));
     }
 
-    /** Takes a message of a coordinator, which becomes a watcher with its first one. */
+    /** Handles a message of a coordinator; a watch message registers the coordinator as a watcher. */
     void onMessage(RankMessenger coordinator, PeerEnvelope message) {
         if (message.hasRankWatch()) {
             boolean isNew = watchers.put(coordinator, message.getRankWatch().getWithCounts()) == null;
             if (isNew) {
-                sent = RankStatus.getDefaultInstance();
+                lastSent = RankStatus.getDefaultInstance();
                 refresh();
             }
         } else if (message.hasRankOrderRequest()) {
-            give(coordinator, message.getRankOrderRequest());
+            forwardOrder(coordinator, message.getRankOrderRequest());
         }
     }
 
-    /** Forgets a coordinator. */
-    void onLost(RankMessenger coordinator) {
+    /** Removes a coordinator whose connection was closed. */
+    void onDisconnected(RankMessenger coordinator) {
         watchers.remove(coordinator);
     }
 
-    private void give(RankMessenger connection, RankOrderRequest request) {
+    private void forwardOrder(RankMessenger connection, RankOrderRequest request) {
         RankOrder order = new RankOrder(
-                status.getRank(), RankOrders.kindOf(request.getKind()), request.getVersion(), request.getStep());
+                status.getRank(),
+                RankMessageConverter.kindOf(request.getKind()),
+                request.getVersion(),
+                request.getStep());
         if (order.kind() == RankOrder.Kind.PREPARE) {
-            preparing = order.version();
+            preparingVersion = order.version();
         }
-        EngineCall call = EngineAdapter.order(order, request.getEpoch(), RankOrders.mapOf(request));
+        EngineCall call = EngineAdapter.order(order, request.getEpoch(), RankMessageConverter.mapOf(request));
         engine.call(call.method(), call.uri(), EngineCall.CONTENT_TYPE, call.body(), ORDER_TIMEOUT_MILLIS)
-                .handle((answer, failure) -> failure == null ? answer.status() : 0)
+                .handle((response, failure) -> failure == null ? response.status() : 0)
                 .thenAccept(code -> {
                     if (order.kind() == RankOrder.Kind.HOLD) {
-                        // All other ranks must be armed before the step is due: the reply does not wait for a report.
+                        // All other ranks must be armed before the step is due, so the reply is sent without a report.
                         reply(connection, request, code);
                         return;
                     }
                     refresh().thenRun(() -> {
-                        sent = RankStatus.getDefaultInstance();
+                        lastSent = RankStatus.getDefaultInstance();
                         push();
                         reply(connection, request, code);
                     });
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/RankAgentService.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/RankAgentService.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.time.Clock;
-import org.jasminehub.gateway.net.WholeCaller;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.gateway.peer.PeerConnection;
 import org.jasminehub.gateway.peer.PeerListener;
 import org.jasminehub.wire.generated.PeerEnvelope;
 
-/** Serves coordinators that connect to the agent beside an engine. Used on its event loop only. */
+/** Connects coordinators to the agent of an engine. Used on its event loop only. */
 public final class RankAgentService implements PeerListener {
     private final RankAgent agent;
     private final Map<PeerConnection, RankMessenger> coordinators = new HashMap<>();
 
-    /** Creates the service of the agent whose engine {@code engine} calls. */
-    public RankAgentService(EventLoop loop, Clock clock, WholeCaller engine, EventSink events) {
+    /** Creates the service of an agent whose engine is called through {@code engine}. */
+    public RankAgentService(EventLoop loop, Clock clock, BufferedHttpClient engine, EventSink events) {
         this.agent = new RankAgent(loop, clock, engine, events);
     }
 
-    /** Starts to read the engine's reports. */
+    /** Starts reading the engine's reports periodically. */
     public void start() {
         agent.start();
     }
@@ -42,7 +42,7 @@
     public void onClosed(PeerConnection connection) {
         RankMessenger coordinator = coordinators.remove(connection);
         if (coordinator != null) {
-            agent.onLost(coordinator);
+            agent.onDisconnected(coordinator);
         }
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/RankOrders.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/RankMessageConverter.java
@@ -9,9 +9,9 @@
 import org.jasminehub.wire.generated.RankOrderRequest;
 import org.jasminehub.wire.generated.RankStatus;
 
-/** Turns orders and what ranks say into messages and back. */
-final class RankOrders {
-    private RankOrders() {}
+/** Converts orders and rank statuses to and from peer messages. */
+final class RankMessageConverter {
+    private RankMessageConverter() {}
 
     static RankOrder.Kind kindOf(RankOrderKind kind) {
         return switch (kind) {
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/RankMessenger.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/RankMessenger.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.wire.generated.PeerEnvelope;
 
-/** The way to or from whatever speaks for a rank. */
+/** Sends messages to a rank, through its agent or directly, or back to a coordinator. */
 @FunctionalInterface
 interface RankMessenger {
-    /** Sends a message; it may be lost. */
+    /** Sends a message without a guarantee of delivery. */
     void send(PeerEnvelope message);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/package-info.java
@@ -1,4 +1,4 @@
-/** Expert maps: the agent beside an engine, and the coordinator that brings a group to a new map. */
+/** Expert placement: the agent beside each engine, and the coordinator that moves a group to a new expert map. */
 @NullMarked
 package org.jasminehub.gateway.experts;
 
--- a/gateway/src/main/java/org/jasminehub/gateway/net/WholeCaller.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/BufferedHttpClient.java
@@ -16,29 +16,29 @@
 import org.jasminehub.platform.PlatformException;
 import org.jspecify.annotations.Nullable;
 
-/** Makes small calls whose answers are taken whole; a call that times out closes its connection. */
-public final class WholeCaller {
+/** Makes small HTTP calls and buffers their complete responses. A call that times out closes its connection. */
+public final class BufferedHttpClient {
     private final EndpointClient client;
     private final EndpointAddress address;
     private final String serviceName;
 
-    /** Creates a caller of {@code address}, named {@code serviceName} in failures. */
-    public WholeCaller(EndpointClient client, EndpointAddress address, String serviceName) {
+    /** Creates a client of the service at {@code address}, which failures name {@code serviceName}. */
+    public BufferedHttpClient(EndpointClient client, EndpointAddress address, String serviceName) {
         this.client = client;
         this.address = address;
         this.serviceName = serviceName;
     }
 
-    /** A whole answer. */
-    public record Answer(int status, byte[] body) {}
+    /** A complete response. */
+    public record Response(int status, byte[] body) {}
 
     /**
      * Makes a call.
      *
-     * @return the answer; fails with a {@link PlatformException} where none arrives within {@code timeoutMillis}, in
-     *     which case the call may have taken effect
+     * @return the response; completes exceptionally with a {@link PlatformException} if none arrives within {@code
+     *     timeoutMillis}, in which case the call may still have taken effect
      */
-    public CompletableFuture<Answer> call(
+    public CompletableFuture<Response> call(
             String method, String uri, String contentType, byte[] body, long timeoutMillis) {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.valueOf(method), uri, Unpooled.wrappedBuffer(body));
@@ -47,34 +47,34 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             HttpUtil.setContentLength(request, body.length);
         }
-        CompletableFuture<Answer> result = new CompletableFuture<>();
-        Exchange exchange = client.send(address, request, ConnectionUse.KEPT_OR_NEW, new Collector(result));
+        CompletableFuture<Response> result = new CompletableFuture<>();
+        Exchange exchange = client.send(address, request, ConnectionUse.KEPT_OR_NEW, new ResponseCollector(result));
         ScheduledFuture<?> timeout = client.loop()
                 .schedule(
                         () -> {
                             exchange.cancel();
                             result.completeExceptionally(new PlatformException(
-                                    serviceName, "no answer within " + timeoutMillis + " ms", null));
+                                    serviceName, "no response within " + timeoutMillis + " ms", null));
                         },
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
-        result.whenComplete((answer, failure) -> timeout.cancel(false));
+        result.whenComplete((response, failure) -> timeout.cancel(false));
         return result;
     }
 
-    /** Holds an answer until it is whole. */
-    private final class Collector implements AnswerSink {
-        private final CompletableFuture<Answer> result;
+    /** Buffers a response until it is complete. */
+    private final class ResponseCollector implements ResponseSink {
+        private final CompletableFuture<Response> result;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private @Nullable HttpResponseStatus status;
 
-        Collector(CompletableFuture<Answer> result) {
+        ResponseCollector(CompletableFuture<Response> result) {
             this.result = result;
         }
 
         @Override
-        public void onHead(HttpResponseStatus answerStatus, HttpHeaders headers) {
-            status = answerStatus;
+        public void onHead(HttpResponseStatus responseStatus, HttpHeaders headers) {
+            status = responseStatus;
         }
 
         @Override
@@ -85,7 +85,7 @@
         @Override
         public void onEnd() {
             if (status != null) {
-                result.complete(new Answer(status.code(), body.toByteArray()));
+                result.complete(new Response(status.code(), body.toByteArray()));
             }
         }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/net/CallerConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/CallerConnection.java
@@ -28,18 +28,18 @@
 import org.jasminehub.core.serving.CallerLimits;
 import org.jspecify.annotations.Nullable;
 
-/** One caller's connection: reads a request, hands it over, and reads the next one once it is answered. */
+/** A caller's connection; processes one request at a time, and the next one once the response is sent. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Parsed parts of later requests that may wait; behind that the connection is not read. */
-    private static final int MAX_WAITING_PARTS = 64;
+    /** Maximum number of parsed parts of later requests; above it, reading from the connection stops. */
+    private static final int MAX_PENDING_PARTS = 64;
 
     private final CallerServer server;
     private final CallerLimits limits;
-    private final Deque<HttpObject> waiting = new ArrayDeque<>();
+    private final Deque<HttpObject> pendingParts = new ArrayDeque<>();
     private @Nullable HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     private @Nullable CallerExchange exchange;
-    private @Nullable AnswerWriter writer;
+    private @Nullable ResponseWriter writer;
     private @Nullable ScheduledFuture<?> timer;
     private boolean isClosing;
 
@@ -51,8 +51,8 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         server.onOpened(context.channel());
-        // A new connection's first request is due like the headers of any other.
-        await(context, limits.headerTimeoutMillis());
+        // The first request on a new connection must arrive within the header timeout.
+        startTimer(context, limits.headerTimeoutMillis());
     }
 
     @Override
@@ -62,23 +62,23 @@
             return;
         }
         if (writer != null) {
-            waiting.add(part);
-            if (waiting.size() > MAX_WAITING_PARTS) {
+            pendingParts.add(part);
+            if (pendingParts.size() > MAX_PENDING_PARTS) {
                 context.channel().config().setAutoRead(false);
             }
             return;
         }
-        take(context, part);
+        process(context, part);
     }
 
-    private void take(ChannelHandlerContext context, HttpObject part) {
+    private void process(ChannelHandlerContext context, HttpObject part) {
         try {
             if (part.decoderResult().isFailure()) {
                 boolean isTooLong = part.decoderResult().cause() instanceof TooLongFrameException;
                 refuse(
                         context,
                         isTooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
-                        isTooLong ? "the headers are too large" : "the request cannot be parsed");
+                        isTooLong ? "the request headers are too large" : "the request cannot be parsed");
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -93,13 +93,13 @@
     }
 
     private void onRequestHead(ChannelHandlerContext context, HttpRequest request) {
-        String fault = RequestCheck.fault(request);
-        if (fault != null) {
-            refuse(context, HttpResponseStatus.BAD_REQUEST, fault);
+        String violation = RequestValidator.findViolation(request);
+        if (violation != null) {
+            refuse(context, HttpResponseStatus.BAD_REQUEST, violation);
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > limits.bodyBytes()) {
-            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the request body is too large");
             return;
         }
         head = request;
@@ -107,12 +107,12 @@
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
-        await(context, limits.idleTimeoutMillis());
+        startTimer(context, limits.idleTimeoutMillis());
     }
 
     private void onBody(ChannelHandlerContext context, HttpContent content) {
         if (body.readableBytes() + content.content().readableBytes() > limits.bodyBytes()) {
-            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the request body is too large");
             return;
         }
         body.writeBytes(content.content());
@@ -132,14 +132,14 @@
         body.release();
         body = Unpooled.EMPTY_BUFFER;
         stopTimer();
-        AnswerWriter answer = new AnswerWriter(context, !HttpUtil.isKeepAlive(request));
-        writer = answer;
+        ResponseWriter response = new ResponseWriter(context, !HttpUtil.isKeepAlive(request));
+        writer = response;
         String host = request.headers().get(HttpHeaderNames.HOST);
         int port = host.lastIndexOf(':');
-        CallerRequest whole = new CallerRequest(
+        CallerRequest callerRequest = new CallerRequest(
                 request.method(), request.uri(), port < 0 ? host : host.substring(0, port), request.headers(), bytes);
-        CallerExchange started = server.handler().handle(whole, answer);
-        if (writer == answer) {
+        CallerExchange started = server.handler().handle(callerRequest, response);
+        if (writer == response) {
             exchange = started;
         }
     }
@@ -155,7 +155,7 @@
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void onAnswered(ChannelHandlerContext context, boolean closes) {
+    private void onResponseSent(ChannelHandlerContext context, boolean closes) {
         writer = null;
         exchange = null;
         if (closes || server.isStopping()) {
@@ -163,15 +163,15 @@
             context.close();
             return;
         }
-        await(context, limits.idleTimeoutMillis());
-        while (writer == null && !isClosing && !waiting.isEmpty()) {
-            take(context, waiting.remove());
+        startTimer(context, limits.idleTimeoutMillis());
+        while (writer == null && !isClosing && !pendingParts.isEmpty()) {
+            process(context, pendingParts.remove());
         }
         context.channel().config().setAutoRead(true);
     }
 
-    /** Closes the connection where no whole request has come after {@code millis}. */
-    private void await(ChannelHandlerContext context, long millis) {
+    /** Closes the connection after {@code millis} unless the timer is stopped or restarted before. */
+    private void startTimer(ChannelHandlerContext context, long millis) {
         stopTimer();
         timer = context.executor().schedule(() -> context.close(), millis, TimeUnit.MILLISECONDS);
     }
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Closes the connection if no request of its caller is open. */
+    /** Closes the connection if no request is being received or processed. */
     void closeIfIdle(Channel channel) {
         if (writer == null && head == null) {
             isClosing = true;
@@ -209,27 +209,27 @@
         isClosing = true;
         body.release();
         body = Unpooled.EMPTY_BUFFER;
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+        pendingParts.forEach(ReferenceCountUtil::release);
+        pendingParts.clear();
         CallerExchange running = exchange;
         exchange = null;
         if (running != null) {
-            running.onCallerGone();
+            running.onCallerDisconnected();
         }
     }
 
-    /** Writes the answer to the request that is open. */
-    private final class AnswerWriter implements CallerAnswer {
+    /** Writes the response to the current request. */
+    private final class ResponseWriter implements CallerResponse {
         private final ChannelHandlerContext context;
         private final boolean closes;
 
-        AnswerWriter(ChannelHandlerContext context, boolean closes) {
+        ResponseWriter(ChannelHandlerContext context, boolean closes) {
             this.context = context;
             this.closes = closes;
         }
 
         @Override
-        public void whole(HttpResponseStatus status, HttpHeaders headers, byte[] bytes) {
+        public void complete(HttpResponseStatus status, HttpHeaders headers, byte[] bytes) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes), headers, EmptyHttpHeaders.INSTANCE);
             if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
@@ -240,12 +240,12 @@
 
         @Override
         public void begin(HttpResponseStatus status, HttpHeaders headers, long bodyLength) {
-            AnswerParts.begin(context, status, headers, bodyLength, markClose(headers));
+            StreamedResponses.begin(context, status, headers, bodyLength, markClose(headers));
         }
 
         @Override
         public void part(byte[] bytes) {
-            AnswerParts.part(context, bytes);
+            StreamedResponses.part(context, bytes);
         }
 
         @Override
@@ -269,7 +269,7 @@
             context.writeAndFlush(last)
                     .addListener(written -> context.executor().execute(() -> {
                         if (writer == this) {
-                            onAnswered(context, isLast);
+                            onResponseSent(context, isLast);
                         }
                     }));
         }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/CallerExchange.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/CallerExchange.java
@@ -1,19 +1,19 @@
 package org.jasminehub.gateway.net;
 
-/** What a running request wants to know of its caller's connection. */
+/** Receives the events of the caller's connection while a request is being processed. */
 public interface CallerExchange {
-    /** Stands for a request that was answered before its handler returned. */
-    CallerExchange NOTHING_OPEN = new CallerExchange() {
+    /** Returned for a request whose response was sent before the handler returned. */
+    CallerExchange COMPLETED = new CallerExchange() {
         @Override
-        public void onCallerGone() {}
+        public void onCallerDisconnected() {}
 
         @Override
         public void onWritabilityChanged(boolean isWritable) {}
     };
 
-    /** The caller has gone; no answer can reach it. */
-    void onCallerGone();
+    /** Called when the caller has closed the connection, so that no response can be delivered. */
+    void onCallerDisconnected();
 
-    /** The caller takes bytes again, or no more for now. */
+    /** Called when the connection becomes writable, or stops being so because the caller reads too slowly. */
     void onWritabilityChanged(boolean isWritable);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/CallerHandler.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/CallerHandler.java
@@ -1,8 +1,8 @@
 package org.jasminehub.gateway.net;
 
-/** Takes the requests of callers. */
+/** Handles callers' requests. */
 @FunctionalInterface
 public interface CallerHandler {
-    /** Starts to work on {@code request}; every request gets exactly one answer, unless its caller goes first. */
-    CallerExchange handle(CallerRequest request, CallerAnswer answer);
+    /** Starts processing {@code request}; it gets exactly one response unless the caller disconnects first. */
+    CallerExchange handle(CallerRequest request, CallerResponse response);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/CallerServer.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/CallerServer.java
@@ -18,16 +18,16 @@
 import org.jasminehub.platform.PlatformException;
 
 /**
- * Listens for callers and reads their requests strictly.
+ * Accepts callers' connections and rejects requests that are malformed or ambiguous.
  *
  * <pre>{@code
  * CallerServer server = CallerServer.start(loop, address, () -> limits, handler, onMalformed);
  * }</pre>
  *
- * <p>Its connections work on the event loop that it was started with.
+ * <p>All connections run on the event loop that is passed to {@link #start}.
  */
 public final class CallerServer {
-    /** Connections that may wait to be accepted; callers return all at once when a process has restarted. */
+    /** Large, because all callers reconnect at the same time after a restart of the process. */
     private static final int BACKLOG = 1024;
 
     private final CallerHandler handler;
@@ -54,12 +54,12 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        CallerLimits inForce = limits.get();
+                        CallerLimits connectionLimits = limits.get();
                         channel.pipeline()
                                 .addLast(
-                                        new StrictRequestDecoder(inForce.headerBytes()),
+                                        new StrictRequestDecoder(connectionLimits.headerBytes()),
                                         new HttpResponseEncoder(),
-                                        new CallerConnection(CallerServer.this, inForce));
+                                        new CallerConnection(CallerServer.this, connectionLimits));
                     }
                 })
                 .bind(address.host(), address.port())
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Starts to listen; port 0 takes a free one.
+     * Starts listening; port 0 selects a free port.
      *
-     * @param limits what callers may send, asked for each new connection
-     * @param onMalformed told the status and the reason of each request that could not be read
+     * @param limits the limits on requests, read for each new connection
+     * @param onMalformed called with the status and the reason of each rejected request
      */
     public static CallerServer start(
             EventLoop loop,
@@ -85,29 +85,33 @@
         return new CallerServer(loop, address, limits, handler, onMalformed);
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) listening.localAddress()).getPort();
     }
 
-    /** Returns how many callers are connected. */
+    /** Returns the number of open connections. */
     public int connections() {
         return open.size();
     }
 
-    /** From now on each answer is the last one of its connection; idle connections stay for requests on their way. */
-    public void stopKeeping() {
+    /**
+     * Makes every further response the last one on its connection.
+     *
+     * <p>Idle connections stay open, because requests on them may be in transit.
+     */
+    public void disableKeepAlive() {
         isStopping = true;
     }
 
-    /** Closes the connections that no request is open on. */
+    /** Closes the connections without a request in progress. */
     public void closeIdle() {
         for (Channel channel : List.copyOf(open)) {
             channel.pipeline().get(CallerConnection.class).closeIfIdle(channel);
         }
     }
 
-    /** Closes the listener and every connection. */
+    /** Stops listening and closes all connections. */
     public void close() {
         listening.close();
         List.copyOf(open).forEach(Channel::close);
--- a/gateway/src/main/java/org/jasminehub/gateway/net/ConnectionUse.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/ConnectionUse.java
@@ -1,9 +1,9 @@
 package org.jasminehub.gateway.net;
 
-/** Which connection an exchange may take. */
+/** Selects the connections that an exchange may use. */
 public enum ConnectionUse {
-    /** Any that is kept, else a new one. */
+    /** An idle pooled connection if there is one, else a new connection. */
     KEPT_OR_NEW,
-    /** Only a new one, so that no earlier exchange can leave doubt about what the endpoint has seen. */
+    /** Always a new connection, so that no earlier exchange can make it uncertain what the endpoint has received. */
     NEW
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/EndpointAddress.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/EndpointAddress.java
@@ -2,7 +2,7 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** An IP address and a port; to listen, port 0 stands for a free one. */
+/** An IP address and a port; port 0 selects a free port when listening. */
 public record EndpointAddress(String host, int port) {
     /** Creates an address. */
     public EndpointAddress {
@@ -10,7 +10,7 @@
         Checks.inRange("port", port, 0, 65_535);
     }
 
-    /** Returns the address that {@code text} states as IP:PORT. */
+    /** Parses an address of the form IP:PORT. */
     public static EndpointAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         Checks.that(colon > 0 && text.substring(colon + 1).matches("\\d{1,5}"), "address", text, "IP:PORT");
--- a/gateway/src/main/java/org/jasminehub/gateway/net/EndpointClient.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/EndpointClient.java
@@ -20,7 +20,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Exchanges requests and answers with endpoints over kept connections.
+ * Sends HTTP requests to endpoints over pooled keep-alive connections.
  *
  * <pre>{@code
  * Exchange exchange = client.send(address, request, ConnectionUse.KEPT_OR_NEW, sink);
@@ -29,17 +29,17 @@
  * <p>Used on its event loop only.
  */
 public final class EndpointClient {
-    /** Several round trips inside a region; a dead machine answers no connection attempt at all. */
+    /** Several round trips inside a region; needed because a dead machine never answers a connection attempt. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
-    /** Probes on silent connections: the first after a second, three of them, so a dead peer shows in 4 s. */
+    /** TCP keep-alive: three probes, the first after 1 s of silence, so a dead peer is detected within 4 s. */
     private static final int KEEP_ALIVE_SECONDS = 1;
 
     private static final int KEEP_ALIVE_PROBES = 3;
 
-    /** How long a connection may be idle where the endpoint states no limit: below the usual limits of servers. */
-    private static final long UNSTATED_IDLE_MILLIS = 2_000;
+    /** Idle limit if the endpoint states none; below the idle timeouts that servers usually have. */
+    private static final long DEFAULT_IDLE_LIMIT_MILLIS = 2_000;
 
-    /** How many idle connections to an address are worth their memory. */
+    /** Bounds the memory that idle connections use. */
     private static final int MAX_IDLE_PER_ADDRESS = 16;
 
     private final EventLoop loop;
@@ -49,7 +49,7 @@
     private final Map<EndpointAddress, Long> idleLimitMillis = new HashMap<>();
     private long connectionsOpened;
 
-    /** Creates a client without connections. */
+    /** Creates a client that has no connections yet. */
     public EndpointClient(EventLoop loop, Clock clock) {
         this.loop = loop;
         this.clock = clock;
@@ -64,55 +64,55 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
-    /** Returns the event loop that the client works on. */
+    /** Returns the event loop that the client runs on. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** Returns how many connections were opened so far. */
+    /** Returns the number of connections that this client has tried to open. */
     public long connectionsOpened() {
         return connectionsOpened;
     }
 
-    /** Notes for how long {@code address} keeps idle connections, by its own word. */
-    public void keepIdle(EndpointAddress address, long limitMillis) {
-        // Half of what is stated: a request must not meet the close on its way.
+    /** Sets how long {@code address} keeps idle connections open, as stated by the endpoint. */
+    public void setIdleLimit(EndpointAddress address, long limitMillis) {
+        // Half of the stated time, so that the endpoint does not close a connection while a request is in transit.
         idleLimitMillis.put(address, limitMillis / 2);
     }
 
-    /** Closes the idle connections to {@code address}. */
-    public void forget(EndpointAddress address) {
+    /** Closes the idle connections to {@code address} and removes its idle limit. */
+    public void closeConnections(EndpointAddress address) {
         idleLimitMillis.remove(address);
-        Deque<EndpointConnection> kept = idle.remove(address);
-        if (kept != null) {
-            kept.forEach(EndpointConnection::cancel);
+        Deque<EndpointConnection> pooled = idle.remove(address);
+        if (pooled != null) {
+            pooled.forEach(EndpointConnection::cancel);
         }
     }
 
-    /** Closes all connections that were idle for too long. */
+    /** Closes all connections that have been idle for too long. */
     public void closeIdle() {
         long nowMillis = clock.monotonicMillis();
         for (Iterator<Deque<EndpointConnection>> each = idle.values().iterator(); each.hasNext(); ) {
-            Deque<EndpointConnection> kept = each.next();
-            kept.removeIf(connection -> {
+            Deque<EndpointConnection> pooled = each.next();
+            pooled.removeIf(connection -> {
                 boolean isStale = !connection.isOpen() || connection.isIdleTooLong(nowMillis);
                 if (isStale) {
                     connection.cancel();
                 }
                 return isStale;
             });
-            if (kept.isEmpty()) {
+            if (pooled.isEmpty()) {
                 each.remove();
             }
         }
     }
 
-    /** Sends {@code request} and passes the answer to {@code sink}, never before this method returns. */
-    public Exchange send(EndpointAddress address, FullHttpRequest request, ConnectionUse use, AnswerSink sink) {
+    /** Sends {@code request}; the response is passed to {@code sink}, never before this method has returned. */
+    public Exchange send(EndpointAddress address, FullHttpRequest request, ConnectionUse use, ResponseSink sink) {
         PendingExchange exchange = new PendingExchange(sink);
-        EndpointConnection kept = use == ConnectionUse.NEW ? null : takeIdle(address);
-        if (kept != null) {
-            loop.execute(() -> exchange.start(kept, request));
+        EndpointConnection pooled = use == ConnectionUse.NEW ? null : pollIdle(address);
+        if (pooled != null) {
+            loop.execute(() -> exchange.start(pooled, request));
             return exchange;
         }
         connectionsOpened++;
@@ -124,7 +124,7 @@
                     protected void initChannel(Channel channel) {
                         StrictResponseDecoder decoder = new StrictResponseDecoder();
                         EndpointConnection connection =
-                                new EndpointConnection(decoder, reusable -> keep(address, reusable));
+                                new EndpointConnection(decoder, reusable -> addIdle(address, reusable));
                         opened.add(connection);
                         channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
                     }
@@ -142,11 +142,11 @@
         return exchange;
     }
 
-    private @Nullable EndpointConnection takeIdle(EndpointAddress address) {
-        Deque<EndpointConnection> kept = idle.get(address);
+    private @Nullable EndpointConnection pollIdle(EndpointAddress address) {
+        Deque<EndpointConnection> pooled = idle.get(address);
         long nowMillis = clock.monotonicMillis();
-        while (kept != null && !kept.isEmpty()) {
-            EndpointConnection connection = kept.pollLast();
+        while (pooled != null && !pooled.isEmpty()) {
+            EndpointConnection connection = pooled.pollLast();
             if (connection.isOpen() && !connection.isIdleTooLong(nowMillis)) {
                 return connection;
             }
@@ -155,13 +155,13 @@
         return null;
     }
 
-    private void keep(EndpointAddress address, EndpointConnection connection) {
-        Deque<EndpointConnection> kept = idle.computeIfAbsent(address, key -> new ArrayDeque<>());
-        if (kept.size() >= MAX_IDLE_PER_ADDRESS) {
+    private void addIdle(EndpointAddress address, EndpointConnection connection) {
+        Deque<EndpointConnection> pooled = idle.computeIfAbsent(address, key -> new ArrayDeque<>());
+        if (pooled.size() >= MAX_IDLE_PER_ADDRESS) {
             connection.cancel();
             return;
         }
-        connection.markIdle(clock.monotonicMillis(), idleLimitMillis.getOrDefault(address, UNSTATED_IDLE_MILLIS));
-        kept.addLast(connection);
+        connection.markIdle(clock.monotonicMillis(), idleLimitMillis.getOrDefault(address, DEFAULT_IDLE_LIMIT_MILLIS));
+        pooled.addLast(connection);
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/EndpointConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/EndpointConnection.java
@@ -20,17 +20,17 @@
 /**
  * One connection to an endpoint or to the store, with one exchange at a time.
  *
- * <p>It is given back for another exchange only after an answer whose end was framed, with nothing behind it; any byte
- * that arrives unasked closes it.
+ * <p>It is reused only after a response with an explicit end (a length or chunks) and no bytes after it. Any byte
+ * that is received outside an exchange closes the connection.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
     private final StrictResponseDecoder decoder;
     private final Consumer<EndpointConnection> onReusable;
     private @Nullable Channel channel;
-    private @Nullable AnswerSink sink;
+    private @Nullable ResponseSink sink;
     private boolean isRequestWritten;
     private boolean isHeadSeen;
-    private boolean isKept;
+    private boolean isReusable;
     private boolean isBroken;
     private boolean isAwaitingRelease;
     private long idleSinceMillis;
@@ -51,7 +51,7 @@
         return open != null && open.isActive();
     }
 
-    /** Notes since when the connection is idle and how long it may stay so. */
+    /** Records when the connection became idle and how long it may stay idle. */
     void markIdle(long nowMillis, long limitMillis) {
         idleSinceMillis = nowMillis;
         idleLimitMillis = limitMillis;
@@ -61,13 +61,13 @@
         return nowMillis - idleSinceMillis >= idleLimitMillis;
     }
 
-    /** Sends {@code request}; the answer goes to {@code answer}. */
-    void send(FullHttpRequest request, AnswerSink answer) {
+    /** Sends {@code request}; the response is passed to {@code responseSink}. */
+    void send(FullHttpRequest request, ResponseSink responseSink) {
         Channel open = channel;
-        sink = answer;
+        sink = responseSink;
         isRequestWritten = false;
         isHeadSeen = false;
-        isKept = false;
+        isReusable = false;
         decoder.expectBody(!HttpMethod.HEAD.equals(request.method()));
         if (open == null || !open.isActive()) {
             request.release();
@@ -83,7 +83,7 @@
         });
     }
 
-    /** Ends the exchange at once; the endpoint sees its connection close. */
+    /** Cancels the exchange by closing the connection, which the endpoint can detect. */
     void cancel() {
         sink = null;
         Channel open = channel;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Stops or resumes reading, so that a slow caller slows the endpoint down. */
+    /** Stops or resumes reading, which applies the back pressure of a slow caller to the endpoint. */
     void setReading(boolean isReading) {
         Channel open = channel;
         if (open != null) {
@@ -126,32 +126,32 @@
     }
 
     private void onHead(HttpResponse response) {
-        AnswerSink taker = sink;
-        if (taker == null || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+        ResponseSink receiver = sink;
+        if (receiver == null || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             return;
         }
         isHeadSeen = true;
-        // Without a length the answer ends with its connection, which cannot be used again.
+        // A response without a length or chunks ends when its connection closes, so the connection cannot be reused.
         boolean isFramed = HttpUtil.isTransferEncodingChunked(response)
                 || HttpUtil.isContentLengthSet(response)
                 || HttpResponseStatus.NO_CONTENT.equals(response.status())
                 || HttpResponseStatus.NOT_MODIFIED.equals(response.status());
-        isKept = isFramed && HttpUtil.isKeepAlive(response);
-        taker.onHead(response.status(), response.headers());
+        isReusable = isFramed && HttpUtil.isKeepAlive(response);
+        receiver.onHead(response.status(), response.headers());
     }
 
     private void onContent(ChannelHandlerContext context, HttpContent content) {
-        AnswerSink taker = sink;
-        if (taker == null || !isHeadSeen) {
+        ResponseSink receiver = sink;
+        if (receiver == null || !isHeadSeen) {
             return;
         }
         if (content.content().isReadable()) {
-            taker.onBody(ByteBufUtil.getBytes(content.content()));
+            receiver.onBody(ByteBufUtil.getBytes(content.content()));
         }
-        if (content instanceof LastHttpContent && sink == taker && !isBroken) {
+        if (content instanceof LastHttpContent && sink == receiver && !isBroken) {
             isAwaitingRelease = true;
-            taker.onEnd();
-            if (!isKept) {
+            receiver.onEnd();
+            if (!isReusable) {
                 context.close();
             }
         }
@@ -164,10 +164,10 @@
         }
         isAwaitingRelease = false;
         sink = null;
-        if (isKept
+        if (isReusable
                 && isRequestWritten
                 && !isBroken
-                && !decoder.hasLeftover()
+                && !decoder.hasUnreadBytes()
                 && context.channel().isActive()) {
             context.channel().config().setAutoRead(true);
             onReusable.accept(this);
@@ -178,7 +178,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A reset, or bytes that the decoder refuses; either way no later byte can be trusted.
+        // A reset, or bytes that the decoder rejects: no later byte on this connection can be interpreted reliably.
         isBroken = true;
         fail(ExchangeFailure.CUT);
         context.close();
@@ -192,10 +192,10 @@
     }
 
     private void fail(ExchangeFailure failure) {
-        AnswerSink taker = sink;
+        ResponseSink receiver = sink;
         sink = null;
-        if (taker != null) {
-            taker.onFailure(failure);
+        if (receiver != null) {
+            receiver.onFailure(failure);
         }
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/Exchange.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/Exchange.java
@@ -1,10 +1,10 @@
 package org.jasminehub.gateway.net;
 
-/** A running exchange with an endpoint. */
+/** A request to an endpoint whose response has not been received completely. */
 public interface Exchange {
-    /** Ends it at once without a failure; the endpoint sees its connection close. */
+    /** Cancels the exchange by closing the connection; the sink is not notified. */
     void cancel();
 
-    /** Stops or resumes reading the answer. */
+    /** Stops or resumes reading the response. */
     void setReading(boolean isReading);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/ExchangeFailure.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/ExchangeFailure.java
@@ -1,13 +1,13 @@
 package org.jasminehub.gateway.net;
 
-/** Why an exchange with an endpoint ended without a whole answer. */
+/** The reasons for which an exchange with an endpoint can end without a complete response. */
 public enum ExchangeFailure {
-    /** No connection came up, so the endpoint has not seen the request. */
+    /** No connection could be established, so the endpoint has not received the request. */
     NOT_CONNECTED,
-    /** The connection ended before the answer did. */
+    /** The connection was closed before the response was complete. */
     CUT,
-    /** The endpoint sent bytes that are no answer to this request. */
+    /** The endpoint sent bytes that are not a valid response. */
     MALFORMED,
-    /** This side gave up. */
+    /** The exchange was cancelled by this process. */
     CANCELLED
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/PendingExchange.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/PendingExchange.java
@@ -5,14 +5,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import org.jspecify.annotations.Nullable;
 
-/** An exchange from the search for a connection to its end; nothing reaches the sink once it is cancelled. */
-final class PendingExchange implements Exchange, AnswerSink {
-    private final AnswerSink sink;
+/** An exchange that may still be waiting for its connection; the sink is not called after a cancellation. */
+final class PendingExchange implements Exchange, ResponseSink {
+    private final ResponseSink sink;
     private @Nullable EndpointConnection connection;
     private Runnable cancelConnecting = () -> {};
-    private boolean isOver;
+    private boolean isDone;
 
-    PendingExchange(AnswerSink sink) {
+    PendingExchange(ResponseSink sink) {
         this.sink = sink;
     }
 
@@ -21,7 +21,7 @@
     }
 
     void start(EndpointConnection open, FullHttpRequest request) {
-        if (isOver) {
+        if (isDone) {
             request.release();
             open.cancel();
             return;
@@ -32,10 +32,10 @@
 
     @Override
     public void cancel() {
-        if (isOver) {
+        if (isDone) {
             return;
         }
-        isOver = true;
+        isDone = true;
         if (connection == null) {
             cancelConnecting.run();
         } else {
@@ -45,37 +45,37 @@
 
     @Override
     public void setReading(boolean isReading) {
-        if (connection != null && !isOver) {
+        if (connection != null && !isDone) {
             connection.setReading(isReading);
         }
     }
 
     @Override
     public void onHead(HttpResponseStatus status, HttpHeaders headers) {
-        if (!isOver) {
+        if (!isDone) {
             sink.onHead(status, headers);
         }
     }
 
     @Override
     public void onBody(byte[] part) {
-        if (!isOver) {
+        if (!isDone) {
             sink.onBody(part);
         }
     }
 
     @Override
     public void onEnd() {
-        if (!isOver) {
-            isOver = true;
+        if (!isDone) {
+            isDone = true;
             sink.onEnd();
         }
     }
 
     @Override
     public void onFailure(ExchangeFailure failure) {
-        if (!isOver) {
-            isOver = true;
+        if (!isDone) {
+            isDone = true;
             sink.onFailure(failure);
         }
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/RequestCheck.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/RequestValidator.java
@@ -8,36 +8,36 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Refuses heads that two programs could read as different requests. */
-final class RequestCheck {
-    private RequestCheck() {}
+/** Rejects request heads that two HTTP implementations could interpret differently. */
+final class RequestValidator {
+    private RequestValidator() {}
 
-    /** Returns what is wrong with {@code request}, or null where nothing is. */
-    static @Nullable String fault(HttpRequest request) {
+    /** Returns the reason why {@code request} is rejected, null if it is valid. */
+    static @Nullable String findViolation(HttpRequest request) {
         HttpHeaders headers = request.headers();
         List<String> hosts = headers.getAll(HttpHeaderNames.HOST);
         if (hosts.size() != 1 || hosts.get(0).isBlank()) {
-            return "a request needs exactly one host";
+            return "the request must have exactly one Host header";
         }
         if (!HttpVersion.HTTP_1_1.equals(request.protocolVersion())) {
-            return "only HTTP/1.1 is spoken here";
+            return "the only supported protocol version is HTTP/1.1";
         }
         if (!request.uri().startsWith("/")) {
-            return "the target must be a path";
+            return "the request target must be a path";
         }
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (!encodings.isEmpty() && !lengths.isEmpty()) {
-            return "a body has either a length or chunks";
+            return "the request must not have both Content-Length and Transfer-Encoding";
         }
         if (lengths.size() > 1) {
-            return "the length of the body is stated twice";
+            return "the request has more than one Content-Length";
         }
         boolean isChunked = encodings.size() == 1
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
                         encodings.get(0).trim());
         if (!encodings.isEmpty() && !isChunked) {
-            return "the only transfer encoding known here is chunked";
+            return "the only supported transfer encoding is chunked";
         }
         return null;
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/StoreConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/StoreConnection.java
@@ -5,18 +5,18 @@
 import org.jasminehub.platform.hosted.StoreCall;
 import org.jasminehub.platform.hosted.StoreTransport;
 
-/** Carries calls to the store over kept connections. */
+/** Sends calls to the store over pooled keep-alive connections. */
 public final class StoreConnection implements StoreTransport {
-    private final WholeCaller caller;
+    private final BufferedHttpClient caller;
 
     /** Creates a transport to the store at {@code address}. */
     public StoreConnection(EndpointClient client, EndpointAddress address) {
-        this.caller = new WholeCaller(client, address, "store");
+        this.caller = new BufferedHttpClient(client, address, "store");
     }
 
     @Override
     public CompletableFuture<StoreAnswer> send(StoreCall call, long timeoutMillis) {
         return caller.call(call.method(), call.uri(), call.contentType(), call.body(), timeoutMillis)
-                .thenApply(answer -> new StoreAnswer(answer.status(), answer.body()));
+                .thenApply(response -> new StoreAnswer(response.status(), response.body()));
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/AnswerParts.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/StreamedResponses.java
@@ -10,9 +10,9 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Writes the parts of an answer that is sent as it arrives. */
-final class AnswerParts {
-    private AnswerParts() {}
+/** Writes the head and the body parts of a response that is sent in parts. */
+final class StreamedResponses {
+    private StreamedResponses() {}
 
     static void begin(
             ChannelHandlerContext context,
@@ -20,7 +20,7 @@
             HttpHeaders headers,
             long bodyLength,
             boolean closes) {
-        if (bodyLength == CallerAnswer.UNKNOWN_LENGTH) {
+        if (bodyLength == CallerResponse.UNKNOWN_LENGTH) {
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
--- a/gateway/src/main/java/org/jasminehub/gateway/net/StrictRequestDecoder.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/StrictRequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Decodes requests and keeps both framing headers where a request has both, so that it can be refused. */
+/** Decodes requests without hiding an ambiguous body length: Content-Length and Transfer-Encoding are both kept. */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder(int headerBytes) {
         super(new HttpDecoderConfig().setMaxInitialLineLength(headerBytes).setMaxHeaderSize(headerBytes));
@@ -12,6 +12,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        // The decoder would drop the length; it stays, and RequestCheck refuses the request.
+        // The superclass would remove Content-Length; it is kept so that RequestValidator rejects the request.
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/net/StrictResponseDecoder.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/StrictResponseDecoder.java
@@ -3,7 +3,11 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Decodes answers; tells whether bytes are left behind a whole one, and knows that answers to HEAD have no body. */
+/**
+ * Decodes responses.
+ *
+ * <p>Reports whether bytes were received after a complete response, and expects no body in a response to HEAD.
+ */
 final class StrictResponseDecoder extends HttpResponseDecoder {
     private boolean isBodyForbidden;
 
@@ -11,7 +15,7 @@
         isBodyForbidden = !isExpected;
     }
 
-    boolean hasLeftover() {
+    boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/net/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP/1.1 connections to callers and endpoints. Everything here runs on the one event loop of the process. */
+/** HTTP/1.1 connections to callers and endpoints, which all run on the single event loop of the process. */
 @NullMarked
 package org.jasminehub.gateway.net;
 
--- a/gateway/src/main/java/org/jasminehub/gateway/peer/PeerConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/peer/PeerConnection.java
@@ -12,13 +12,16 @@
 import org.jasminehub.wire.generated.PeerEnvelope;
 import org.jspecify.annotations.Nullable;
 
-/** One connection between two processes; it closes itself when the other side falls silent. */
+/** A connection between two processes of this system; it closes itself if the peer sends nothing for too long. */
 public final class PeerConnection extends SimpleChannelInboundHandler<PeerEnvelope> {
-    /** Several times the longest pause between two messages of a peer that is well. */
+    /** Read timeout: several times the longest time between two messages of a healthy peer. */
     private static final long SILENCE_MILLIS = 1_500;
 
-    /** A peer that takes no bytes is cut off once this much waits for it: more than any message. */
-    private static final int MAX_WAITING_BYTES = 4 << 20;
+    /**
+     * Limit on the bytes queued for a peer that does not read, above which the connection is closed. Larger than any
+     * single message.
+     */
+    private static final int MAX_PENDING_BYTES = 4 << 20;
 
     private final PeerListener listener;
     private @Nullable Channel channel;
@@ -27,9 +30,9 @@
         this.listener = listener;
     }
 
-    /** Makes {@code accepted} speak the protocol and pass its messages to {@code listener}. */
-    static void install(Channel accepted, PeerListener listener) {
-        accepted.pipeline()
+    /** Adds the protocol handlers to {@code channel}; its messages are passed to {@code listener}. */
+    static void install(Channel channel, PeerListener listener) {
+        channel.pipeline()
                 .addLast(
                         new ReadTimeoutHandler(SILENCE_MILLIS, TimeUnit.MILLISECONDS),
                         new ProtobufVarint32FrameDecoder(),
@@ -39,14 +42,14 @@
                         new PeerConnection(listener));
     }
 
-    /** Sends {@code message}, or closes the connection where the peer does not read. */
+    /** Sends {@code message}, or closes the connection if too many bytes are queued because the peer does not read. */
     public void send(PeerEnvelope message) {
         Channel open = channel;
         if (open == null || !open.isActive()) {
             return;
         }
         if (open.unsafe().outboundBuffer() != null
-                && open.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_WAITING_BYTES) {
+                && open.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES) {
             open.close();
             return;
         }
@@ -79,7 +82,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // Silence, a reset or bytes that are no message: the connection is of no more use, and onClosed tells so.
+        // A read timeout, a reset or an invalid message: the connection is unusable. The listener's onClosed follows.
         context.close();
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/peer/PeerLink.java
@@ -11,12 +11,12 @@
 import org.jasminehub.wire.generated.PeerEnvelope;
 import org.jspecify.annotations.Nullable;
 
-/** Keeps a connection to another process up for as long as it is wanted. Used on its event loop only. */
+/** Maintains a connection to another process and reconnects until it is closed. Used on its event loop only. */
 public final class PeerLink implements PeerListener {
     /** Several round trips inside a region. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
-    /** The pause before another connection is tried; a restarted process listens after about a second. */
+    /** Pause between two connection attempts; a restarted process accepts connections after about one second. */
     private static final long RECONNECT_MILLIS = 300;
 
     private final EventLoop loop;
@@ -25,7 +25,7 @@
     private @Nullable PeerConnection connection;
     private boolean isClosed;
 
-    /** Creates a link to {@code address} that starts to connect at once. */
+    /** Creates a link to {@code address} and starts connecting. */
     public PeerLink(EventLoop loop, EndpointAddress address, PeerListener listener) {
         this.loop = loop;
         this.address = address;
@@ -33,17 +33,17 @@
         connect();
     }
 
-    /** Returns where it connects to. */
+    /** Returns the address that the link connects to. */
     public EndpointAddress address() {
         return address;
     }
 
-    /** Returns whether the connection is up. */
-    public boolean isUp() {
+    /** Returns whether the link is connected. */
+    public boolean isConnected() {
         return connection != null;
     }
 
-    /** Sends {@code message} if the connection is up, and returns whether it is. */
+    /** Sends {@code message} if the link is connected, and returns whether it is. */
     public boolean send(PeerEnvelope message) {
         PeerConnection open = connection;
         if (open == null) {
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** Closes the link for good. */
+    /** Closes the link; it does not reconnect. */
     public void close() {
         isClosed = true;
         if (connection != null) {
--- a/gateway/src/main/java/org/jasminehub/gateway/peer/PeerListener.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/peer/PeerListener.java
@@ -2,14 +2,14 @@
 
 import org.jasminehub.wire.generated.PeerEnvelope;
 
-/** Takes what comes over a connection to a peer. */
+/** Receives the events and messages of connections to peers. */
 public interface PeerListener {
-    /** The connection is up. */
+    /** Called when the connection is established. */
     void onConnected(PeerConnection connection);
 
-    /** A message has come. */
+    /** Called for each received message. */
     void onMessage(PeerConnection connection, PeerEnvelope message);
 
-    /** The connection is gone. */
+    /** Called when the connection is closed. */
     void onClosed(PeerConnection connection);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/peer/PeerServer.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/peer/PeerServer.java
@@ -11,7 +11,7 @@
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.platform.PlatformException;
 
-/** Accepts connections of other processes of this system. */
+/** Accepts connections from other processes of this system. */
 public final class PeerServer {
     private final Channel channel;
 
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Starts to listen; port 0 takes a free one.
+     * Starts listening; port 0 selects a free port.
      *
      * @throws PlatformException if the address cannot be bound
      */
@@ -44,12 +44,12 @@
         return new PeerServer(binding.channel());
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Stops listening. */
+    /** Stops listening; accepted connections stay open. */
     public void close() {
         channel.close();
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/peer/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Connections between this system's own processes. */
+/** Connections between the processes of this system. */
 @NullMarked
 package org.jasminehub.gateway.peer;
 
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/QueuedEvents.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/AsyncEventSink.java
@@ -14,43 +14,43 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Hands events to a slow sink on a thread of its own, and never blocks the one that emits.
+ * Queues events and passes them to a sink that may block, on a thread of its own; emitting never blocks on the sink.
  *
- * <p>When the sink stalls, lines of normal events are left out before those of failures, and the first line that can be
- * written again says how many of which kind are missing.
+ * <p>If the sink stalls and the queue fills up, normal events are dropped before failures. The next write ends with a
+ * {@link LinesDropped} event that tells how many events of each kind were dropped.
  *
  * <p>Safe for use by several threads.
  */
-public final class QueuedEvents implements EventSink, AutoCloseable {
-    /** The writer lets lines gather for this long, so that many of them cost one wake-up. */
+public final class AsyncEventSink implements EventSink, AutoCloseable {
+    /** Delay between the first queued event and the write, so that many events cost one wake-up of the writer. */
     private static final long WRITE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-    /** Part of the queue that normal events may fill; the rest is for failures. */
-    private static final double NORMAL_SHARE = 0.75;
+    /** Fraction of the queue that normal events may fill; the rest is reserved for failures. */
+    private static final double NORMAL_CAPACITY_SHARE = 0.75;
 
     private static final long CLOSE_MILLIS = 300;
 
-    private record TimedEvent(Event event, long wallMillis) {}
+    private record TimestampedEvent(Event event, long wallMillis) {}
 
-    /** Takes events with the time at which they happened. */
+    /** Receives events together with the time at which they were emitted. */
     @FunctionalInterface
-    public interface TimedSink {
+    public interface TimestampedSink {
         /** Writes {@code event}; may block. */
         void emitAt(Event event, long wallMillis);
     }
 
     private final Clock clock;
-    private final TimedSink next;
+    private final TimestampedSink delegate;
     private final int capacity;
     private final Thread writer;
     private final Map<String, Long> dropped = new TreeMap<>();
-    private List<TimedEvent> waiting = new ArrayList<>();
+    private List<TimestampedEvent> queue = new ArrayList<>();
     private volatile boolean isClosed;
 
-    /** Creates a queue of at most {@code capacity} events and starts its writer. */
-    public QueuedEvents(Clock clock, TimedSink next, int capacity) {
+    /** Creates a sink that queues at most {@code capacity} events, and starts its writer thread. */
+    public AsyncEventSink(Clock clock, TimestampedSink delegate, int capacity) {
         this.clock = clock;
-        this.next = next;
+        this.delegate = delegate;
         this.capacity = (int) Checks.positive("capacity", capacity);
         this.writer = new Thread(this::write, "log-writer");
         writer.setDaemon(true);
@@ -60,35 +60,35 @@
     @Override
     public synchronized void emit(Event event) {
         boolean isFailure = event.kind().severity().compareTo(Severity.WARNING) >= 0;
-        if (waiting.size() >= (isFailure ? capacity : capacity * NORMAL_SHARE)) {
+        if (queue.size() >= (isFailure ? capacity : capacity * NORMAL_CAPACITY_SHARE)) {
             dropped.merge(event.kind().name(), 1L, Long::sum);
             return;
         }
-        waiting.add(new TimedEvent(event, clock.wallMillis()));
-        if (waiting.size() == 1) {
+        queue.add(new TimestampedEvent(event, clock.wallMillis()));
+        if (queue.size() == 1) {
             notifyAll();
         }
     }
 
-    /** Blocks until there is something to write, or the queue is closed. */
+    /** Blocks until an event is queued or the sink is closed. */
     private synchronized void awaitEvent() throws InterruptedException {
-        while (waiting.isEmpty() && !isClosed) {
+        while (queue.isEmpty() && !isClosed) {
             wait();
         }
     }
 
-    private synchronized List<TimedEvent> take() {
-        List<TimedEvent> taken = waiting;
-        waiting = new ArrayList<>();
+    private synchronized List<TimestampedEvent> drain() {
+        List<TimestampedEvent> drained = queue;
+        queue = new ArrayList<>();
         if (!dropped.isEmpty()) {
             String kinds = dropped.entrySet().stream()
                     .map(kind -> kind.getKey() + "=" + kind.getValue())
                     .collect(Collectors.joining(","));
             long lines = dropped.values().stream().mapToLong(Long::longValue).sum();
-            taken.add(new TimedEvent(new LinesDropped(kinds, lines), clock.wallMillis()));
+            drained.add(new TimestampedEvent(new LinesDropped(kinds, lines), clock.wallMillis()));
             dropped.clear();
         }
-        return taken;
+        return drained;
     }
 
     private void write() {
@@ -104,11 +104,11 @@
             if (!isLast) {
                 LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
             }
-            take().forEach(timed -> next.emitAt(timed.event(), timed.wallMillis()));
+            drain().forEach(queued -> delegate.emitAt(queued.event(), queued.wallMillis()));
         }
     }
 
-    /** Writes what waits, for as long as that takes but not for more than a moment. */
+    /** Stops the writer after it has written the queued events, and waits a limited time for that. */
     @Override
     public void close() {
         synchronized (this) {
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/HdrReservoir.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/HdrReservoir.java
@@ -8,14 +8,14 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
 
-/** Keeps a histogram's values in an HdrHistogram: all of them since the start, within 1 in 100 of their size. */
+/** Stores all values since the start of the process in an HdrHistogram, with an error of at most 1 %. */
 final class HdrReservoir implements Reservoir {
     private static final long MAX_MILLIS = 120_000;
-    private static final int DIGITS = 2;
-    /** Quantiles are read from this many values spread over the distribution. */
+    private static final int SIGNIFICANT_DIGITS = 2;
+    /** Approximate number of values in a snapshot, from which quantiles are computed. */
     private static final int SNAPSHOT_VALUES = 1_000;
 
-    private final Histogram histogram = new Histogram(MAX_MILLIS, DIGITS);
+    private final Histogram histogram = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
 
     @Override
     public synchronized int size() {
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/LinesDropped.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/LinesDropped.java
@@ -5,10 +5,10 @@
 import org.jasminehub.core.event.Severity;
 
 /**
- * Lines that were left out because the log could not be written fast enough.
+ * Log lines that were dropped because the log could not be written fast enough.
  *
- * @param kinds how many of each kind, as {@code KIND=COUNT} separated by commas
- * @param lines how many in all
+ * @param kinds the number of dropped lines of each kind, as {@code KIND=COUNT} separated by commas
+ * @param lines the total number of dropped lines
  */
 public record LinesDropped(String kinds, long lines) implements Event {
     /** The only kind of this event. */
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/MeteredEvents.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/MeteringEventSink.java
@@ -8,20 +8,20 @@
 import org.jasminehub.gateway.call.CallEnded;
 
 /**
- * Counts every event by its kind, calls by their code, and how long calls took, before it passes them on.
+ * Counts events by kind and calls by error code, records the durations of calls, and forwards all events.
  *
  * <p>Safe for use by several threads.
  */
-public final class MeteredEvents implements EventSink {
-    private final EventSink next;
+public final class MeteringEventSink implements EventSink {
+    private final EventSink delegate;
     private final MetricRegistry metrics;
     private final Histogram total;
     private final Histogram firstByte;
     private final Histogram queued;
 
-    /** Creates a sink that counts in {@code metrics}. */
-    public MeteredEvents(EventSink next, MetricRegistry metrics) {
-        this.next = next;
+    /** Creates a sink that updates {@code metrics} and forwards events to {@code delegate}. */
+    public MeteringEventSink(EventSink delegate, MetricRegistry metrics) {
+        this.delegate = delegate;
         this.metrics = metrics;
         this.total = histogram("calls.total.millis");
         this.firstByte = histogram("calls.first.byte.millis");
@@ -48,6 +48,6 @@
                 firstByte.update(call.firstByteMillis());
             }
         }
-        next.emit(event);
+        delegate.emit(event);
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/MetricsHandler.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/MetricsHandler.java
@@ -12,33 +12,33 @@
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
 import org.jasminehub.gateway.net.CallerHandler;
 import org.jasminehub.gateway.net.CallerRequest;
+import org.jasminehub.gateway.net.CallerResponse;
 
-/** Serves the metrics of a process as text. */
+/** Serves the metrics of the process in the Prometheus text format. */
 public final class MetricsHandler implements CallerHandler {
-    /** Where metrics are served. */
+    /** The path at which metrics are served. */
     public static final String PATH = "/metrics";
 
     private final CollectorRegistry collectors = new CollectorRegistry();
 
-    /** Creates a handler of {@code metrics}. */
+    /** Creates a handler that serves {@code metrics}. */
     public MetricsHandler(MetricRegistry metrics) {
         collectors.register(new DropwizardExports(metrics));
     }
 
     @Override
-    public CallerExchange handle(CallerRequest request, CallerAnswer answer) {
+    public CallerExchange handle(CallerRequest request, CallerResponse response) {
         HttpHeaders headers = new DefaultHttpHeaders(false);
         headers.set(HttpHeaderNames.CONTENT_TYPE, TextFormat.CONTENT_TYPE_004);
         if (request.path().equals(PATH)) {
-            answer.whole(HttpResponseStatus.OK, headers, render().getBytes(StandardCharsets.UTF_8));
+            response.complete(HttpResponseStatus.OK, headers, render().getBytes(StandardCharsets.UTF_8));
         } else {
-            answer.whole(HttpResponseStatus.NOT_FOUND, headers, new byte[0]);
+            response.complete(HttpResponseStatus.NOT_FOUND, headers, new byte[0]);
         }
-        return CallerExchange.NOTHING_OPEN;
+        return CallerExchange.COMPLETED;
     }
 
     private String render() {
@@ -46,7 +46,7 @@
         try {
             TextFormat.write004(writer, collectors.metricFamilySamples());
         } catch (IOException e) {
-            // A StringWriter does not fail.
+            // A StringWriter never throws an IOException.
             throw new UncheckedIOException(e);
         }
         return writer.toString();
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/package-info.java
@@ -1,4 +1,4 @@
-/** What an operator sees of a process: its log lines and its metrics. */
+/** Log lines and metrics of a process. */
 @NullMarked
 package org.jasminehub.gateway.telemetry;
 
--- a/gateway/src/test/java/org/jasminehub/gateway/CallsTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/CallsTest.java
@@ -161,9 +161,9 @@
         void testBytesBehindAnAnswerDoNotReachTheNextCall() throws Exception {
             serveOne();
             script.add((request, socket) -> {
-                String whole = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header("x-attempt-id")
+                String complete = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header("x-attempt-id")
                         + "\r\nX-Response-Signature: s\r\nContent-Length: 4\r\n\r\ngood";
-                ScriptedEndpoint.write(socket, whole + whole.replace("good", "evil"));
+                ScriptedEndpoint.write(socket, complete + complete.replace("good", "evil"));
                 return true;
             });
             script.add(ScriptedEndpoint.ok("next"));
--- a/gateway/src/test/java/org/jasminehub/gateway/StoreStandin.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/StoreStandin.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.jasminehub.core.serving.CallerLimits;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
 import org.jasminehub.gateway.net.CallerRequest;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.gateway.net.CallerServer;
 import org.jasminehub.gateway.net.EndpointAddress;
 
@@ -58,10 +58,10 @@
         server.close();
     }
 
-    private synchronized CallerExchange handle(CallerRequest request, CallerAnswer answer) {
+    private synchronized CallerExchange handle(CallerRequest request, CallerResponse answer) {
         if (isDown) {
             respond(answer, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
-            return CallerExchange.NOTHING_OPEN;
+            return CallerExchange.COMPLETED;
         }
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         String topic = query.parameters().get("topic").get(0);
@@ -77,10 +77,10 @@
                     : 0;
             read(log, Integer.parseInt(query.parameters().get("from").get(0)), wait, answer);
         }
-        return CallerExchange.NOTHING_OPEN;
+        return CallerExchange.COMPLETED;
     }
 
-    private synchronized void read(List<Entry> log, int from, long waitMillis, CallerAnswer answer) {
+    private synchronized void read(List<Entry> log, int from, long waitMillis, CallerResponse answer) {
         long step = 10;
         if (isDown) {
             answer.abort();
@@ -133,7 +133,7 @@
         log.add(new Entry(new String(key, StandardCharsets.UTF_8), value));
     }
 
-    private static void respond(CallerAnswer answer, HttpResponseStatus status, byte[] body) {
-        answer.whole(status, new DefaultHttpHeaders(false), body);
+    private static void respond(CallerResponse answer, HttpResponseStatus status, byte[] body) {
+        answer.complete(status, new DefaultHttpHeaders(false), body);
     }
 }
--- a/gateway/src/test/java/org/jasminehub/gateway/experts/ExpertPlacementTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/experts/ExpertPlacementTest.java
@@ -20,9 +20,9 @@
 import org.jasminehub.core.serving.GroupSeat;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.gateway.control.DelayedRunner;
+import org.jasminehub.gateway.net.BufferedHttpClient;
 import org.jasminehub.gateway.net.EndpointAddress;
 import org.jasminehub.gateway.net.EndpointClient;
-import org.jasminehub.gateway.net.WholeCaller;
 import org.jasminehub.gateway.peer.PeerServer;
 import org.jasminehub.runtime.time.SystemClock;
 import org.jasminehub.wire.generated.InstanceRecord;
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Coordinators, agents and a group of engines over real sockets. */
+/** Runs coordinators and agents against a simulated group of engines over real sockets. */
 @Timeout(60)
 final class ExpertPlacementTest {
     private static final int SIZE = 3;
@@ -59,7 +59,8 @@
         engineLoop = newLoop("engines");
         group = new GroupStandin(engineLoop, SIZE, EXPERTS, HOT);
         for (int rank = 0; rank < SIZE; rank++) {
-            WholeCaller engine = new WholeCaller(new EndpointClient(loop, clock), group.address(rank), "engine");
+            BufferedHttpClient engine =
+                    new BufferedHttpClient(new EndpointClient(loop, clock), group.address(rank), "engine");
             RankAgentService agent = new RankAgentService(loop, clock, engine, events);
             PeerServer server = PeerServer.start(loop, new EndpointAddress("127.0.0.1", 0), agent);
             loop.execute(agent::start);
@@ -114,7 +115,7 @@
     private static void await(BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             if (Thread.currentThread().isInterrupted()) {
-                throw new AssertionError("the test's time is up");
+                throw new AssertionError("the test was interrupted by its timeout");
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
@@ -126,17 +127,17 @@
 
         await(() -> group.ranksWith(HOT) > 1);
 
-        assertFalse(group.isMixed());
+        assertFalse(group.hasMixedMaps());
     }
 
     @Test
-    void testOrdersWhoseAnswersAreLostAreGivenAgain() {
-        group.loseAnswers(9);
+    void testOrdersWithLostResponsesAreResent() {
+        group.dropResponses(9);
         startCoordinator(() -> true);
 
         await(() -> group.ranksWith(HOT) > 1 && !group.isHeld());
 
-        assertFalse(group.isMixed());
+        assertFalse(group.hasMixedMaps());
     }
 
     @Test
@@ -148,18 +149,18 @@
         isFirstResponsible.set(false);
         await(() -> !group.isHeld());
 
-        assertFalse(group.isMixed());
+        assertFalse(group.hasMixedMaps());
     }
 
     @Test
-    void testAStepThatIsHeldIsReleasedThoughTheAgentOfOneEngineIsGone() {
+    void testAHeldStepIsReleasedAlthoughOneAgentIsGone() {
         group.holdNextStep();
         agentServers.get(1).close();
         agents.remove(1);
         startCoordinator(() -> true);
 
-        await(() -> !group.isHeld() && group.mapInUse() > 0);
+        await(() -> !group.isHeld() && group.versionInUse() > 0);
 
-        assertFalse(group.isMixed());
+        assertFalse(group.hasMixedMaps());
     }
 }
--- a/gateway/src/test/java/org/jasminehub/gateway/experts/GroupPlacementTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/experts/GroupPlacementTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The orders of one group's placement, from scripted reports and replies. */
+/** Checks the orders that a group's placement sends in response to scripted reports and replies. */
 final class GroupPlacementTest {
     private static final int SIZE = 2;
     private static final long STEP = 100;
@@ -29,11 +29,12 @@
     private final ManualClock clock = new ManualClock(1_000_000);
     private final List<RankOrderRequest> direct = new ArrayList<>();
     private final List<List<RankOrderRequest>> viaAgent = List.of(new ArrayList<>(), new ArrayList<>());
-    private final List<RankMessenger> agents = List.of(recorder(viaAgent.get(0)), recorder(viaAgent.get(1)));
-    private final RankMessenger directMessenger = recorder(direct);
+    private final List<RankMessenger> agents =
+            List.of(recordingMessenger(viaAgent.get(0)), recordingMessenger(viaAgent.get(1)));
+    private final RankMessenger directMessenger = recordingMessenger(direct);
     private GroupPlacement placement;
 
-    private static RankMessenger recorder(List<RankOrderRequest> orders) {
+    private static RankMessenger recordingMessenger(List<RankOrderRequest> orders) {
         return message -> orders.add(message.getRankOrderRequest());
     }
 
@@ -63,7 +64,7 @@
     }
 
     @BeforeEach
-    void reportAllPrepared() {
+    void reportAllRanksPrepared() {
         placement = new GroupPlacement("g", clock, event -> {}, () -> LAYOUT, (group, rank) -> directMessenger);
         for (int rank = 0; rank < SIZE; rank++) {
             placement.onStatus(agents.get(rank), status(rank).build(), false);
@@ -88,7 +89,7 @@
         }
 
         @Test
-        void testAnOldReportReadFromAfarDoesNotHoldAnotherStep() {
+        void testAnOutdatedDirectReportDoesNotHoldAnotherStep() {
             clock.advanceMillis(5);
             placement.onStatus(directMessenger, status(0).build(), true);
             clock.advanceMillis(300);
@@ -109,7 +110,7 @@
         }
 
         @Test
-        void testAHoldThatNoReportShowsIsNotBelievedForLong() {
+        void testAHoldThatNoReportConfirmsIsRetried() {
             clock.advanceMillis(300);
             placement.onStatus(agents.get(0), status(0).build(), false);
             placement.onStatus(agents.get(1), status(1).build(), false);
@@ -119,21 +120,21 @@
     }
 
     @Nested
-    final class WithOrdersThatGetLost {
+    final class WithLostOrders {
         @BeforeEach
         void acceptHold() {
             reply(directMessenger, direct.get(0), OK);
         }
 
         @Test
-        void testAnArmWithoutAnAnswerIsGivenAgainAtOnce() {
+        void testAnArmWithoutAReplyIsResentAtOnce() {
             reply(agents.get(1), viaAgent.get(1).get(0), NO_ANSWER);
 
             assertEquals(List.of(RankOrderKind.RANK_ARM, RankOrderKind.RANK_ARM), kinds(viaAgent.get(1)));
         }
 
         @Test
-        void testARefusedArmWaitsForNewerNews() {
+        void testARefusedArmIsNotResentAtOnce() {
             reply(agents.get(1), viaAgent.get(1).get(0), REFUSED);
 
             assertEquals(List.of(RankOrderKind.RANK_ARM), kinds(viaAgent.get(1)));
--- a/gateway/src/test/java/org/jasminehub/gateway/experts/GroupStandin.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/experts/GroupStandin.java
@@ -15,20 +15,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.jasminehub.core.serving.CallerLimits;
-import org.jasminehub.gateway.net.CallerAnswer;
 import org.jasminehub.gateway.net.CallerExchange;
 import org.jasminehub.gateway.net.CallerRequest;
+import org.jasminehub.gateway.net.CallerResponse;
 import org.jasminehub.gateway.net.CallerServer;
 import org.jasminehub.gateway.net.EndpointAddress;
 
-/** The engines of one group, in lock step, each behind an HTTP server of its own; one layer of experts. */
+/** Simulates the engines of one group, which run in lockstep, each behind its own HTTP server; one layer of experts. */
 final class GroupStandin {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long PASS_MILLIS = 10;
-    /** How many choices of an expert a pass adds at every rank. */
-    private static final int CHOICES_A_PASS = 40;
+    /** Number of times that each pass chooses the hot expert on every rank; other experts are chosen once. */
+    private static final int CHOICES_PER_PASS = 40;
 
-    /** One rank. */
+    /** The state of one rank. */
     private static final class Rank {
         private long map;
         private long newest;
@@ -47,9 +47,9 @@
     private final int hotExpert;
     private long step = 1;
     private int unansweredOrders;
-    private boolean isMixed;
+    private boolean hasMixedMaps;
 
-    /** Starts a group whose requests all choose {@code hotExpert} most of the time. */
+    /** Starts a group whose requests choose {@code hotExpert} most of the time. */
     GroupStandin(EventLoop loop, int size, int experts, int hotExpert) {
         this.loop = loop;
         this.hotExpert = hotExpert;
@@ -65,7 +65,7 @@
                     loop,
                     new EndpointAddress("127.0.0.1", 0),
                     () -> CallerLimits.DEFAULT,
-                    (request, answer) -> handle(number, request, answer),
+                    (request, response) -> handle(number, request, response),
                     (status, reason) -> {}));
         }
         loop.scheduleAtFixedRate(this::pass, PASS_MILLIS, PASS_MILLIS, TimeUnit.MILLISECONDS);
@@ -75,21 +75,21 @@
         return new EndpointAddress("127.0.0.1", servers.get(rank).port());
     }
 
-    /** Takes the next orders without an answer. */
-    synchronized void loseAnswers(int orders) {
+    /** Executes the next {@code orders} orders without sending responses. */
+    synchronized void dropResponses(int orders) {
         unansweredOrders = orders;
     }
 
-    /** Holds the step after the next, as a coordinator did that has died since. */
+    /** Holds the step after the next, which simulates a coordinator that stopped before it released the step. */
     synchronized void holdNextStep() {
         ranks.get(0).held = step + 2;
     }
 
-    synchronized boolean isMixed() {
-        return isMixed;
+    synchronized boolean hasMixedMaps() {
+        return hasMixedMaps;
     }
 
-    synchronized long mapInUse() {
+    synchronized long versionInUse() {
         return ranks.get(0).map;
     }
 
@@ -112,31 +112,31 @@
                 rank.experts = rank.preparedExperts;
                 rank.armed = 0;
             }
-            Arrays.setAll(rank.counts, expert -> rank.counts[expert] + (expert == hotExpert ? CHOICES_A_PASS : 1));
+            Arrays.setAll(rank.counts, expert -> rank.counts[expert] + (expert == hotExpert ? CHOICES_PER_PASS : 1));
         }
-        isMixed |= ranks.stream().map(rank -> rank.map).distinct().count() > 1;
+        hasMixedMaps |= ranks.stream().map(rank -> rank.map).distinct().count() > 1;
     }
 
-    private synchronized CallerExchange handle(int number, CallerRequest request, CallerAnswer answer) {
+    private synchronized CallerExchange handle(int number, CallerRequest request, CallerResponse response) {
         Rank rank = ranks.get(number);
         if (request.path().equals("/report")) {
-            respond(answer, HttpResponseStatus.OK, report(number));
+            respond(response, HttpResponseStatus.OK, report(number));
         } else if (request.uri().equals("/picked")) {
-            respond(answer, HttpResponseStatus.OK, "{\"counts\":" + Arrays.toString(rank.counts) + "}");
+            respond(response, HttpResponseStatus.OK, "{\"counts\":" + Arrays.toString(rank.counts) + "}");
         } else if (request.path().equals("/picked")) {
             respond(
-                    answer,
+                    response,
                     HttpResponseStatus.OK,
                     "{\"map\":{\"version\":" + rank.map + ",\"experts\":[" + rank.experts + "]}}");
         } else {
-            boolean isTaken = apply(rank, parse(request.body()));
+            boolean isAccepted = apply(rank, parse(request.body()));
             if (unansweredOrders > 0) {
                 unansweredOrders--;
             } else {
-                respond(answer, isTaken ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT, "");
+                respond(response, isAccepted ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT, "");
             }
         }
-        return CallerExchange.NOTHING_OPEN;
+        return CallerExchange.COMPLETED;
     }
 
     private String report(int number) {
@@ -195,8 +195,8 @@
         }
     }
 
-    private void respond(CallerAnswer answer, HttpResponseStatus status, String body) {
+    private void respond(CallerResponse response, HttpResponseStatus status, String body) {
         byte[] bytes = (body.isEmpty() ? "{}" : body).getBytes(StandardCharsets.UTF_8);
-        loop.execute(() -> answer.whole(status, new DefaultHttpHeaders(false), bytes));
+        loop.execute(() -> response.complete(status, new DefaultHttpHeaders(false), bytes));
     }
 }
--- a/gateway/src/test/java/org/jasminehub/gateway/telemetry/QueuedEventsTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/telemetry/AsyncEventSinkTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** A log that stalls, and the counters beside it. */
-final class QueuedEventsTest {
+/** Tests of the asynchronous log sink while the log stalls, and of the metering sink. */
+final class AsyncEventSinkTest {
     private static final int CAPACITY = 100;
 
     private static CallEnded call(CallEventKind kind, String id) {
@@ -25,7 +25,7 @@
         return new CallEnded(kind, id, "r", "w", 200, code, "", "e", 1, 0, 5, 10, 20, 1, 0);
     }
 
-    /** Standard output that nobody reads. */
+    /** The log sink blocks, as standard output does if nobody reads it. */
     @Nested
     final class Stalled {
         @Test
@@ -33,7 +33,7 @@
             CountDownLatch stall = new CountDownLatch(1);
             CountDownLatch stalled = new CountDownLatch(1);
             BlockingQueue<Event> written = new LinkedBlockingQueue<>();
-            QueuedEvents events = new QueuedEvents(
+            AsyncEventSink events = new AsyncEventSink(
                     new ManualClock(0),
                     (event, wallMillis) -> {
                         stalled.countDown();
@@ -72,13 +72,13 @@
         }
     }
 
-    /** Counters and histograms. */
+    /** Counters and histograms of the metering sink. */
     @Nested
     final class Metered {
         @Test
         void testCallsAreCountedByKindAndCodeAndTheirTimesKept() {
             MetricRegistry metrics = new MetricRegistry();
-            MeteredEvents events = new MeteredEvents(event -> {}, metrics);
+            MeteringEventSink events = new MeteringEventSink(event -> {}, metrics);
 
             events.emit(call(CallEventKind.CALL_SERVED, "a"));
             events.emit(call(CallEventKind.CALL_REFUSED, "b"));
