--- a/gateway/src/main/java/org/jasminehub/gateway/DirectoryHandler.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/DirectoryHandler.java
@@ -18,12 +18,12 @@
 import org.jasminehub.platform.hosted.DirectoryAdapter;
 import org.jasminehub.wire.generated.InstanceRecord;
 
-/** Tells callers where to connect, and the platform whether this instance is ready. */
+/** Answers address look-ups by callers and readiness probes by the platform. */
 final class DirectoryHandler implements CallerHandler {
-    /** Short, so that callers leave a stopping instance early; each answer costs a few hundred bytes. */
+    /** Short, so that callers soon move away from a stopping instance; each response costs only a few hundred bytes. */
     static final long TTL_MILLIS = 2_000;
 
-    /** The most addresses that callers look at. */
+    /** Callers ignore addresses beyond this number. */
     private static final int MAX_ADDRESSES = 64;
 
     private final BooleanSupplier isReady;
@@ -49,16 +49,16 @@
     }
 
     private void resolve(CallerRequest request, CallerResponse answer) {
-        FailureDomain near = DirectoryAdapter.callerDomain(request.uri());
-        List<InstanceRecord> known = new ArrayList<>(instances.get());
-        if (known.isEmpty()) {
+        FailureDomain callerDomain = DirectoryAdapter.callerDomain(request.uri());
+        List<InstanceRecord> accepting = new ArrayList<>(instances.get());
+        if (accepting.isEmpty()) {
             respond(answer, HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        known.sort(Comparator.comparing(
-                        (InstanceRecord each) -> !each.getFailureDomain().equals(near.value()))
+        accepting.sort(Comparator.comparing(
+                        (InstanceRecord each) -> !each.getFailureDomain().equals(callerDomain.value()))
                 .thenComparing(InstanceRecord::getInstance));
-        List<String> addresses = known.stream()
+        List<String> addresses = accepting.stream()
                 .limit(MAX_ADDRESSES)
                 .map(each -> each.getHost() + ":" + each.getCallerPort())
                 .toList();
--- a/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/EntryProgram.java
@@ -52,34 +52,37 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An entry instance on the hosting platform: callers connect to it, and it sends their calls straight to endpoints.
+ * An entry instance on the hosting platform: accepts calls from callers and sends them directly to endpoints.
  *
- * <p>All its state belongs to one event loop.
+ * <p>All state is confined to a single event loop.
  */
 final class EntryProgram implements ConfigurationView {
-    /** A read of the configuration waits this long for a new version; its age stays far below the revocation bound. */
+    /** A read waits up to 1.6 s for a new version, which keeps the known age far below the revocation bound. */
     private static final FollowerSettings CONFIGURATION_READS = new FollowerSettings(1_600, 0, 600);
 
-    /** Registrations change all the time, so they are read in turns; half a second is a fourth of the drain time. */
+    /** Registrations change constantly, so they are polled; 500 ms is a quarter of the drain time. */
     private static final FollowerSettings ENDPOINT_READS = new FollowerSettings(0, 500, 600);
 
-    /** Other instances come and go rarely. */
+    /** Other instances rarely start or stop, so a long poll may wait for several seconds. */
     private static final FollowerSettings INSTANCE_READS = new FollowerSettings(8_000, 0, 600);
 
-    /** Part of the revocation bound within which knowledge of the configuration is trusted; the rest is margin. */
-    private static final double TRUSTED_SHARE = 0.9;
+    /** Share of the revocation bound up to which the configuration counts as fresh; the rest is a safety margin. */
+    private static final double FRESH_SHARE = 0.9;
 
-    /** A plain endpoint queues a few calls beside those that it works on; they are short. */
+    /** Calls to plain endpoints are short, so a few may queue at the endpoint beside those being processed. */
     private static final double PLAIN_CALLS_PER_SLOT = 3;
 
-    /** A call that an engine queues would come late; it waits here, where another engine may become free. */
+    /**
+     * A call queued at one engine would be late; it waits here instead, where it can go to any engine that becomes
+     * free.
+     */
     private static final double ENGINE_CALLS_PER_SLOT = 1;
 
-    /** How often both clocks are compared and idle connections closed. */
-    private static final long TICK_MILLIS = 200;
+    /** How often the clocks are compared and idle connections are closed. */
+    private static final long TICK_INTERVAL_MILLIS = 200;
 
-    /** Clocks that drift further apart than this within a tick tell of a suspension or a step. */
-    private static final long SUSPENSION_MILLIS = 150;
+    /** A larger change of the difference between both clocks within a tick indicates a suspension or a clock step. */
+    private static final long SUSPENSION_THRESHOLD_MILLIS = 150;
 
     private final GatewaySettings settings;
     private final Clock clock;
@@ -95,7 +98,7 @@
     private final PeerExchange peers;
     private final ExpertCoordinator experts;
     private final EndpointLoads loads;
-    private final CallRetryBudget budget;
+    private final CallRetryBudget retryBudget;
     private final CallDispatcher dispatcher;
     private @Nullable CallerServer callers;
     private long clockDifferenceMillis;
@@ -139,9 +142,9 @@
                 this::expertLayout,
                 client,
                 endpoints::all,
-                peers::isFirst);
+                peers::isFirstByName);
         RandomGenerator random = new SplittableRandom(settings.instance().hashCode() ^ clock.wallMillis());
-        this.budget = new CallRetryBudget(clock, settings.repeatRatio(), settings.repeatReserve(), (long)
+        this.retryBudget = new CallRetryBudget(clock, settings.repeatRatio(), settings.repeatReserve(), (long)
                 (settings.repeatWindowSeconds() * TimeUnit.SECONDS.toMillis(1)));
         this.dispatcher = new CallDispatcher(
                 loop,
@@ -150,7 +153,7 @@
                 endpoints,
                 loads,
                 new EndpointChoicePolicy(loads, new FailureDomain(settings.failureDomain()), random),
-                budget,
+                retryBudget,
                 service -> service == null || service.engine() == null ? PLAIN_CALLS_PER_SLOT : ENGINE_CALLS_PER_SLOT,
                 random,
                 events);
@@ -168,11 +171,13 @@
                 .build();
     }
 
-    /** Starts to listen and to learn; returns once the process listens. */
+    /**
+     * Opens all listeners and starts to read the configuration and the registrations; returns once all ports are bound.
+     */
     void start() {
         clockDifferenceMillis = clock.wallMillis() - clock.monotonicMillis();
         CallPipeline pipeline = new CallPipeline(
-                clock, this, new CallSettings((long) (settings.revocationMillis() * TRUSTED_SHARE)), dispatcher);
+                clock, this, new CallSettings((long) (settings.revocationMillis() * FRESH_SHARE)), dispatcher);
         callers = listen(settings.callerAddress(), pipeline);
         DirectoryHandler directory = new DirectoryHandler(() -> isReady, peers::acceptingInstances, settings);
         listen(settings.readinessAddress(), directory);
@@ -180,20 +185,21 @@
         listen(EndpointAddress.parse(settings.peerAddress()).host() + ":" + settings.metricsPort(), metricsHandler());
         PeerServer.start(loop, EndpointAddress.parse(settings.peerAddress()), peers);
         loop.execute(() -> {
-            configuration.start(this::review);
+            configuration.start(this::updateReadiness);
             endpoints.start(
-                    this::onEndpointsChanged, gone -> client.closeConnections(addressOf(gone.host(), gone.port())));
+                    this::onEndpointsChanged,
+                    endpoint -> client.closeConnections(addressOf(endpoint.host(), endpoint.port())));
             instances.start(() -> {
-                budget.setInstances(peers.maxInstances());
+                retryBudget.setInstances(peers.maxInstances());
                 peers.onDirectoryChanged();
             });
-            peers.start(dispatcher::drainLines);
-            peers.tellPaces(() -> experts.isActive() ? Optional.of(experts.slowEndpoints()) : Optional.empty());
+            peers.start(dispatcher::dispatchQueued);
+            peers.setSlowdownSource(() -> experts.isActive() ? Optional.of(experts.slowEndpoints()) : Optional.empty());
             experts.start();
             tick();
         });
         events.emit(new ControlEvent(
-                ControlEventKind.PROCESS_STARTED, settings.instance(), "listens at " + settings.callerAddress(), 0));
+                ControlEventKind.PROCESS_STARTED, settings.instance(), "listening on " + settings.callerAddress(), 0));
     }
 
     private MetricsHandler metricsHandler() {
@@ -212,17 +218,17 @@
         return new MetricsHandler(metrics);
     }
 
-    /** Returns the client that reaches endpoints. */
+    /** Returns the client used for calls to endpoints. */
     EndpointClient client() {
         return client;
     }
 
-    /** Returns the port that callers connect to, 0 before the start. */
+    /** Returns the port that callers connect to, or 0 before the start. */
     int callerPort() {
         return callers == null ? 0 : callers.port();
     }
 
-    /** Returns the names of the instances that callers are sent to; safe on any thread. */
+    /** Returns the names of the instances listed for callers. Thread-safe. */
     List<String> acceptingNames() {
         return loop.submit(() -> peers.acceptingInstances().stream()
                         .map(InstanceRecord::getInstance)
@@ -231,7 +237,7 @@
                 .getNow();
     }
 
-    /** Returns whether the endpoint named {@code id} is known in that state; safe on any thread. */
+    /** Returns whether the endpoint {@code id} is known and in the given state. Thread-safe. */
     boolean knowsEndpoint(String id, boolean isDraining) {
         return loop.submit(() -> endpoints
                         .find(new EndpointId(id))
@@ -284,8 +290,8 @@
     }
 
     private void onEndpointsChanged() {
-        dispatcher.drainLines();
-        review();
+        dispatcher.dispatchQueued();
+        updateReadiness();
     }
 
     @Override
@@ -300,44 +306,44 @@
 
     private void tick() {
         long differenceMillis = clock.wallMillis() - clock.monotonicMillis();
-        if (Math.abs(differenceMillis - clockDifferenceMillis) > SUSPENSION_MILLIS) {
+        if (Math.abs(differenceMillis - clockDifferenceMillis) > SUSPENSION_THRESHOLD_MILLIS) {
             events.emit(new ControlEvent(
                     ControlEventKind.SUSPENSION_NOTICED,
                     settings.instance(),
-                    "clocks moved apart by " + (differenceMillis - clockDifferenceMillis) + " ms",
+                    "wall clock and monotonic clock diverged by " + (differenceMillis - clockDifferenceMillis) + " ms",
                     0));
             configuration.refresh();
             endpoints.refresh();
         }
         clockDifferenceMillis = differenceMillis;
         client.closeIdle();
-        review();
-        timer.runAfter(TICK_MILLIS, this::tick);
+        updateReadiness();
+        timer.runAfter(TICK_INTERVAL_MILLIS, this::tick);
     }
 
-    /** Works out anew whether this instance takes callers. */
-    private void review() {
-        boolean isTrusted = configuration.inForce().isPresent()
-                && configuration.ageMillis() < settings.revocationMillis() * TRUSTED_SHARE;
-        boolean next = isTrusted && endpoints.ageMillis() != Long.MAX_VALUE && !isStopping;
-        if (next != isReady) {
-            isReady = next;
+    /** Re-evaluates whether this instance accepts callers. */
+    private void updateReadiness() {
+        boolean isFresh = configuration.inForce().isPresent()
+                && configuration.ageMillis() < settings.revocationMillis() * FRESH_SHARE;
+        boolean isNowReady = isFresh && endpoints.ageMillis() != Long.MAX_VALUE && !isStopping;
+        if (isNowReady != isReady) {
+            isReady = isNowReady;
             events.emit(new ControlEvent(
                     ControlEventKind.READINESS_CHANGED,
                     settings.instance(),
-                    next ? "ready" : "not ready",
+                    isNowReady ? "ready" : "not ready",
                     configuration.ageMillis()));
         }
     }
 
-    /** Finishes the open calls and leaves; blocks until that is done or the grace time is nearly over. */
+    /** Completes the open calls and deregisters; blocks until that is done or the grace time is nearly over. */
     void stop() {
         StopSequence sequence = new StopSequence(settings, clock, timer, events);
         loop.execute(() -> {
             isStopping = true;
-            review();
+            updateReadiness();
             peers.announce();
-            registration.leave();
+            registration.deregister();
             CallerServer open = callers;
             if (open == null) {
                 sequence.finish();
--- a/gateway/src/main/java/org/jasminehub/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/GatewaySettings.java
@@ -4,24 +4,24 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The settings of an entry instance on the hosting platform; addresses are IP:PORT.
+ * Settings of an entry instance on the hosting platform. Addresses have the form IP:PORT.
  *
- * @param instance its name
- * @param failureDomain where it runs
- * @param callerAddress where callers connect
- * @param readinessAddress where the platform asks whether it is ready
- * @param directoryAddress where callers ask for addresses
- * @param peerAddress where other instances connect
- * @param metricsPort where metrics are served, on the host of {@code peerAddress}
- * @param agentPort where rank agents listen, on the hosts of their engines
- * @param seeds peer addresses of a few other instances, possibly stale
- * @param storeAddress the platform's store
- * @param revocationMillis after this a key that was taken away must not be honoured any more
- * @param graceSeconds between the order to stop and the end of the process
- * @param addressTtlSeconds how long callers may keep an address list at most
- * @param repeatRatio repeats allowed for each call in a window, over all instances
- * @param repeatReserve repeats allowed besides, over all instances
- * @param repeatWindowSeconds the window
+ * @param instance the name of the instance
+ * @param failureDomain the failure domain in which it runs
+ * @param callerAddress the listen address for callers
+ * @param readinessAddress the listen address for the platform's readiness probes
+ * @param directoryAddress the listen address for callers' address look-ups
+ * @param peerAddress the listen address for other instances
+ * @param metricsPort the port for metrics, on the host of {@code peerAddress}
+ * @param agentPort the port on which rank agents listen, on the hosts of their engines
+ * @param seeds the peer addresses of a few other instances, possibly outdated
+ * @param storeAddress the address of the platform's store
+ * @param revocationMillis the time after which a revoked key must no longer be accepted
+ * @param graceSeconds the time from the stop request to the end of the process
+ * @param addressTtlSeconds the longest time for which callers may cache an address list
+ * @param repeatRatio the retries allowed per call within a window, across all instances
+ * @param repeatReserve the retries allowed in addition within a window, across all instances
+ * @param repeatWindowSeconds the length of the window
  */
 public record GatewaySettings(
         String instance,
@@ -40,7 +40,7 @@
         double repeatRatio,
         double repeatReserve,
         double repeatWindowSeconds) {
-    /** Creates settings; times must be positive and names not blank. */
+    /** Creates settings; times must be positive and names must not be blank. */
     public GatewaySettings {
         Checks.notBlank("instance", instance);
         Checks.notBlank("failureDomain", failureDomain);
--- a/gateway/src/main/java/org/jasminehub/gateway/Main.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/Main.java
@@ -21,12 +21,14 @@
 import org.jspecify.annotations.Nullable;
 import sun.misc.Signal;
 
-/** The command line of the programs on the hosting platform. */
+/** Command line entry point of the programs on the hosting platform. */
 public final class Main {
     static final int EXIT_OK = 0;
     static final int EXIT_USAGE = 2;
 
-    /** Lines that wait for a stalled standard output: some seconds of a busy instance, within a megabyte. */
+    /**
+     * Log lines buffered while standard output is blocked; covers several seconds of a busy instance in less than 1 MB.
+     */
     private static final int LOG_CAPACITY = 2_048;
 
     private static final String SETTINGS_VARIABLE = "JASMINEHUB_BOOT";
@@ -36,26 +38,26 @@
     @Parameter(description = "entry | rank-agent")
     private List<String> roles = new ArrayList<>();
 
-    @Parameter(names = "--settings", description = "the settings file; by default the one that JASMINEHUB_BOOT names")
+    @Parameter(names = "--settings", description = "path of the settings file; default: JASMINEHUB_BOOT")
     private @Nullable String settingsPath = System.getenv(SETTINGS_VARIABLE);
 
-    @Parameter(names = "--check", description = "reads the settings, says whether they can be used, and ends")
+    @Parameter(names = "--check", description = "validates the settings file and exits")
     private boolean isCheck;
 
     @Parameter(
             names = "--rehearse",
-            description = "runs for a moment on loopback and ends; the build archives the classes that this loads",
+            description = "runs briefly on loopback and exits; the build archives the classes loaded by this run",
             hidden = true)
     private boolean isRehearsal;
 
-    @Parameter(names = "--help", help = true, description = "shows this help")
+    @Parameter(names = "--help", help = true, description = "prints this help")
     private boolean help;
 
     Main(PrintStream err) {
         this.err = err;
     }
 
-    /** Runs a role until the process is told to stop. */
+    /** Runs a role until the process is stopped. */
     public static void main(String[] args) {
         int code = new Main(System.err).run(args);
         if (code != EXIT_OK) {
@@ -79,7 +81,7 @@
                 System.exit(EXIT_OK);
             }
             if (roles.size() != 1 || settingsPath == null) {
-                throw new ParameterException("one role and a settings file are needed");
+                throw new ParameterException("exactly one role and a settings file are required");
             }
             return start(roles.get(0), Path.of(settingsPath));
         } catch (ParameterException e) {
@@ -97,7 +99,7 @@
             return startRankAgent(path, clock);
         }
         if (!role.equals("entry")) {
-            throw new ParameterException("no such role: " + role);
+            throw new ParameterException("unknown role: " + role);
         }
         GatewaySettings settings = new SettingsLoader().load(path, GatewaySettings.class);
         if (isCheck) {
@@ -108,8 +110,8 @@
         EventSink events = new MeteringEventSink(log, metrics);
         EntryProgram program = new EntryProgram(settings, clock, events, metrics);
         program.start();
-        stopWith(program::stop, log);
-        // Without a handler of its own the Java machine would end on this signal.
+        stopOnShutdown(program::stop, log);
+        // Without a handler, SIGHUP would end the JVM.
         Signal.handle(new Signal("HUP"), signal -> reload(path, settings, events));
         return EXIT_OK;
     }
@@ -122,12 +124,12 @@
         AsyncEventSink log = new AsyncEventSink(clock, new EventLog(settings.instance())::emitAt, LOG_CAPACITY);
         RankAgentProgram program = new RankAgentProgram(settings, clock, log);
         program.start();
-        stopWith(program::stop, log);
+        stopOnShutdown(program::stop, log);
         Signal.handle(new Signal("HUP"), signal -> {});
         return EXIT_OK;
     }
 
-    private static void stopWith(Runnable stop, AsyncEventSink log) {
+    private static void stopOnShutdown(Runnable stop, AsyncEventSink log) {
         Thread hook = new Thread(
                 () -> {
                     stop.run();
@@ -137,14 +139,14 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    private static void reload(Path path, GatewaySettings inForce, EventSink events) {
+    private static void reload(Path path, GatewaySettings current, EventSink events) {
         String outcome;
         try {
-            GatewaySettings read = new SettingsLoader().load(path, GatewaySettings.class);
-            outcome = read.equals(inForce) ? "nothing changed" : "changes take force at the next start";
+            GatewaySettings reloaded = new SettingsLoader().load(path, GatewaySettings.class);
+            outcome = reloaded.equals(current) ? "no changes" : "changes take effect after a restart";
         } catch (JasminehubException e) {
-            outcome = "kept the old ones: " + e.getMessage();
+            outcome = "keeping the previous settings: " + e.getMessage();
         }
-        events.emit(new ControlEvent(ControlEventKind.SETTINGS_RELOADED, inForce.instance(), outcome, 0));
+        events.emit(new ControlEvent(ControlEventKind.SETTINGS_RELOADED, current.instance(), outcome, 0));
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/RankAgentProgram.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/RankAgentProgram.java
@@ -19,7 +19,7 @@
 import org.jasminehub.platform.hosted.StoreClient;
 import org.jasminehub.wire.generated.InstanceRecord;
 
-/** The process beside a model engine: an agent that coordinators connect to. */
+/** The rank agent: a process that runs beside a model engine and to which coordinators connect. */
 final class RankAgentProgram {
     private final RankAgentSettings settings;
     private final EventLoop loop;
@@ -60,11 +60,14 @@
             agent.start();
         });
         events.emit(new ControlEvent(
-                ControlEventKind.PROCESS_STARTED, settings.instance(), "beside " + settings.engineAddress(), 0));
+                ControlEventKind.PROCESS_STARTED,
+                settings.instance(),
+                "rank agent of engine " + settings.engineAddress(),
+                0));
     }
 
     void stop() {
-        // Its registration stays: it runs on every machine beside an engine, and comes back there.
+        // The registration is kept because the agent runs permanently on the engine's machine and restarts there.
         events.emit(new ControlEvent(ControlEventKind.PROCESS_STOPPED, settings.instance(), "", 0));
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/RankAgentSettings.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/RankAgentSettings.java
@@ -3,18 +3,18 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The settings of a rank agent; addresses are IP:PORT.
+ * Settings of a rank agent. Addresses have the form IP:PORT.
  *
- * @param instance its name
- * @param failureDomain where it runs
+ * @param instance the name of the agent
+ * @param failureDomain the failure domain in which it runs
  * @param host its IP address
- * @param agentPort where coordinators connect
- * @param engineAddress the engine beside it
- * @param storeAddress the platform's store
+ * @param agentPort the port to which coordinators connect
+ * @param engineAddress the address of the agent's engine
+ * @param storeAddress the address of the platform's store
  */
 public record RankAgentSettings(
         String instance, String failureDomain, String host, int agentPort, String engineAddress, String storeAddress) {
-    /** Creates settings. */
+    /** Creates settings; names and host must not be blank. */
     public RankAgentSettings {
         Checks.notBlank("instance", instance);
         Checks.notBlank("failureDomain", failureDomain);
--- a/gateway/src/main/java/org/jasminehub/gateway/Rehearsal.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/Rehearsal.java
@@ -19,8 +19,8 @@
 import org.jasminehub.runtime.log.EventLog;
 
 /**
- * Runs both programs for a moment on loopback, so that the build can archive the classes that a start needs; a process
- * that starts from the archive listens in about half the time.
+ * Runs both programs briefly on loopback, so that the build can archive the classes needed at start-up. A process that
+ * starts from the class data archive opens its ports in about half the time.
  */
 final class Rehearsal {
     private static final String LOOPBACK = "127.0.0.1:0";
@@ -30,7 +30,7 @@
 
     private Rehearsal() {}
 
-    /** Runs, and returns when enough classes are loaded. */
+    /** Runs both programs and returns once the classes are loaded. */
     static void run(Clock clock) {
         AsyncEventSink log = new AsyncEventSink(clock, new EventLog("rehearsal")::emitAt, LOG_CAPACITY);
         MetricRegistry metrics = new MetricRegistry();
--- a/gateway/src/main/java/org/jasminehub/gateway/StopSequence.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/StopSequence.java
@@ -10,12 +10,15 @@
 import org.jasminehub.gateway.control.DelayedRunner;
 import org.jasminehub.gateway.net.CallerServer;
 
-/** A planned stop: serves callers that still know this address, then finishes open calls inside the grace time. */
+/**
+ * Graceful shutdown: keeps serving until no caller has this address cached, then completes open calls within the grace
+ * time.
+ */
 final class StopSequence {
     private static final long POLL_MILLIS = 50;
-    /** Callers that ask again learn other addresses within the time to live of the list, plus a round trip. */
-    private static final long LIST_SLACK_MILLIS = 500;
-    /** Left of the grace time when the process ends by itself, so that it is never killed over an open call. */
+    /** Added to the TTL of the address list; covers the round trip of a caller that requests the list again. */
+    private static final long LIST_EXPIRY_MARGIN_MILLIS = 500;
+    /** The process ends this long before the grace time, so that the platform never kills it during an open call. */
     private static final long END_MARGIN_MILLIS = 400;
 
     private final GatewaySettings settings;
@@ -41,7 +44,7 @@
 
     private void poll(CallerServer callers, IntSupplier openCalls) {
         long elapsedMillis = clock.monotonicMillis() - startedMillis;
-        boolean isListExpired = elapsedMillis >= DirectoryHandler.TTL_MILLIS + LIST_SLACK_MILLIS;
+        boolean isListExpired = elapsedMillis >= DirectoryHandler.TTL_MILLIS + LIST_EXPIRY_MARGIN_MILLIS;
         boolean isGraceOver =
                 elapsedMillis >= settings.graceSeconds() * TimeUnit.SECONDS.toMillis(1) - END_MARGIN_MILLIS;
         if (isListExpired) {
@@ -51,7 +54,7 @@
             events.emit(new ControlEvent(
                     ControlEventKind.PROCESS_STOPPED,
                     settings.instance(),
-                    openCalls.getAsInt() + " calls left after " + elapsedMillis + " ms",
+                    openCalls.getAsInt() + " calls still open after " + elapsedMillis + " ms",
                     0));
             finish();
             return;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
@@ -27,28 +27,30 @@
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
 import org.jspecify.annotations.Nullable;
 
-/** One send of a call to one endpoint, and the relay of what comes back. */
+/** One attempt to send a call to an endpoint, including the relay of the response. */
 final class Attempt implements ResponseSink {
-    /** Part of the target latency after which a repeatable call that got nothing is tried elsewhere. */
-    private static final double SILENCE_SHARE = 0.65;
+    /** Share of the target latency after which a retryable call without a response is sent to another endpoint. */
+    private static final double RESPONSE_TIMEOUT_FACTOR = 0.65;
 
-    /** A stream that got nothing for this many target latencies is tried elsewhere; a full engine takes its time. */
-    private static final double STREAM_SILENCE_SHARE = 2.5;
+    /**
+     * Time-out for the first event of a stream, as a factor of the target latency; a fully loaded engine starts slowly.
+     */
+    private static final double FIRST_EVENT_TIMEOUT_FACTOR = 2.5;
 
-    /** A stream that stops this long goes on elsewhere, before its caller gives up after 2 s. */
-    private static final long STREAM_PAUSE_MILLIS = 1_200;
+    /** A stream without an event for this long is resumed elsewhere, before its caller gives up after 2 s. */
+    private static final long EVENT_TIMEOUT_MILLIS = 1_200;
 
-    /** Several passes of a group at its slowest. */
-    private static final long STALL_MILLIS = 500;
+    /** No progress for this long counts as a stall; even the slowest group finishes several passes in that time. */
+    private static final long STALL_THRESHOLD_MILLIS = 500;
 
     private final RunningCall call;
     private final EndpointRecord endpoint;
     private final long startedMillis;
     private @Nullable Exchange exchange;
-    private @Nullable ScheduledFuture<?> silenceTimer;
-    private @Nullable AnswerRelay relay;
-    private long eventMillis = -1;
-    private boolean isOver;
+    private @Nullable ScheduledFuture<?> timeoutTimer;
+    private @Nullable ResponseRelay relay;
+    private long lastEventMillis = -1;
+    private boolean isEnded;
 
     Attempt(RunningCall call, EndpointRecord endpoint) {
         this.call = call;
@@ -84,10 +86,11 @@
         if (request.body().length > 0 || HttpMethod.POST.equals(request.method())) {
             HttpUtil.setContentLength(message, request.body().length);
         }
-        // A call with effects takes a connection of its own, so that a kept one that just closed leaves no doubt.
-        ConnectionUse use = call.route().mayRetry() ? ConnectionUse.KEPT_OR_NEW : ConnectionUse.NEW;
-        exchange = call.dispatcher().client().send(address(), message, use, this);
-        watchSilence();
+        // An unsafe call uses a new connection: if a pooled one had just been closed, it would be unknown whether the
+        // call ran.
+        ConnectionUse connectionUse = call.route().mayRetry() ? ConnectionUse.KEPT_OR_NEW : ConnectionUse.NEW;
+        exchange = call.dispatcher().client().send(address(), message, connectionUse, this);
+        startTimeout();
     }
 
     private EndpointAddress address() {
@@ -96,15 +99,15 @@
 
     void setReading(boolean isReading) {
         if (!isReading) {
-            // The pause that follows is the caller's and tells nothing of the endpoint.
-            eventMillis = -1;
+            // The gap that follows is caused by the caller and must not count as the endpoint's.
+            lastEventMillis = -1;
         }
         if (exchange != null) {
             exchange.setReading(isReading);
         }
     }
 
-    /** Ends the attempt without a word on the endpoint: the call is over. */
+    /** Ends the attempt because the call has ended; records neither success nor failure of the endpoint. */
     void cancel() {
         if (close()) {
             call.dispatcher().onAttemptCancelled(call.service(), endpoint.id());
@@ -112,12 +115,12 @@
     }
 
     private boolean close() {
-        if (isOver) {
+        if (isEnded) {
             return false;
         }
-        isOver = true;
-        if (silenceTimer != null) {
-            silenceTimer.cancel(false);
+        isEnded = true;
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
         if (exchange != null) {
             exchange.cancel();
@@ -125,80 +128,88 @@
         return true;
     }
 
-    private void watchSilence() {
+    private void startTimeout() {
         if (!call.route().mayRetry()) {
             return;
         }
         boolean isStream = call.route().kind() == CallKind.STREAMING;
-        long limitMillis =
-                (long) (call.route().targetLatencyMillis() * (isStream ? STREAM_SILENCE_SHARE : SILENCE_SHARE));
-        watchFor(limitMillis, "no answer for " + limitMillis + " ms");
+        long limitMillis = (long) (call.route().targetLatencyMillis()
+                * (isStream ? FIRST_EVENT_TIMEOUT_FACTOR : RESPONSE_TIMEOUT_FACTOR));
+        scheduleTimeout(limitMillis, "no response within " + limitMillis + " ms");
     }
 
-    private void watchFor(long limitMillis, String reason) {
-        if (silenceTimer != null) {
-            silenceTimer.cancel(false);
+    private void scheduleTimeout(long limitMillis, String reason) {
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
-        silenceTimer = call.dispatcher().after(limitMillis, () -> onSilence(reason));
+        timeoutTimer = call.dispatcher().after(limitMillis, () -> onTimeout(reason));
     }
 
     /**
-     * Engines of a group stand still together; then another one is of no help, and a repeat would only cost work. The
-     * last attempt that a call may make is never given up for silence alone.
+     * Handles a time-out. The engines of a group stall together; retrying at another engine of a stalled group would
+     * only add work, so the attempt keeps waiting. The last attempt that a call may make is not ended by a time-out.
      */
-    private void onSilence(String reason) {
-        if (!call.mayRepeatAfterRun()) {
+    private void onTimeout(String reason) {
+        if (!call.mayRetryAfterRun()) {
             return;
         }
-        if (call.route().kind() == CallKind.STREAMING && call.dispatcher().isStalled(call.service(), STALL_MILLIS)) {
-            watchFor(STALL_MILLIS, reason);
+        if (call.route().kind() == CallKind.STREAMING
+                && call.dispatcher().isStalled(call.service(), STALL_THRESHOLD_MILLIS)) {
+            scheduleTimeout(STALL_THRESHOLD_MILLIS, reason);
         } else {
             fail(AttemptEnd.MAY_HAVE_RUN, reason);
         }
     }
 
-    /** Notes that an event of a stream has come. */
+    /** Called for each stream event that has been relayed. */
     void onProgress() {
         long nowMillis = call.dispatcher().clock().monotonicMillis();
-        call.dispatcher().onProgress(call.service(), endpoint, eventMillis < 0 ? -1 : nowMillis - eventMillis);
-        eventMillis = nowMillis;
+        call.dispatcher().onProgress(call.service(), endpoint, lastEventMillis < 0 ? -1 : nowMillis - lastEventMillis);
+        lastEventMillis = nowMillis;
         if (call.route().mayRetry()) {
-            watchFor(STREAM_PAUSE_MILLIS, "the stream paused for " + STREAM_PAUSE_MILLIS + " ms");
+            scheduleTimeout(EVENT_TIMEOUT_MILLIS, "no stream event within " + EVENT_TIMEOUT_MILLIS + " ms");
         }
     }
 
     @Override
     public void onHead(HttpResponseStatus status, HttpHeaders headers) {
-        AnswerHeaders read = AnswerHeadersAdapter.decode(status, headers);
-        if (read.keepAliveMillis() != null) {
-            call.dispatcher().client().setIdleLimit(address(), read.keepAliveMillis());
+        AnswerHeaders parsedHeaders = AnswerHeadersAdapter.decode(status, headers);
+        if (parsedHeaders.keepAliveMillis() != null) {
+            call.dispatcher().client().setIdleLimit(address(), parsedHeaders.keepAliveMillis());
         }
         String requestId = call.context().requestId();
-        boolean isOthers = read.requestId() != null && !read.requestId().equals(requestId);
+        boolean isForOtherRequest =
+                parsedHeaders.requestId() != null && !parsedHeaders.requestId().equals(requestId);
         boolean isSuccess = status.codeClass() == HttpStatusClass.SUCCESS;
-        if (isOthers || (isSuccess && !read.isSigned()) || headers.contains(HttpHeaderNames.CONTENT_ENCODING)) {
-            fail(AttemptEnd.MAY_HAVE_RUN, isOthers ? "an answer to another request" : "no valid answer");
+        if (isForOtherRequest
+                || (isSuccess && !parsedHeaders.isSigned())
+                || headers.contains(HttpHeaderNames.CONTENT_ENCODING)) {
+            fail(
+                    AttemptEnd.MAY_HAVE_RUN,
+                    isForOtherRequest
+                            ? "response belongs to another request"
+                            : "response is unsigned or has a content encoding");
             return;
         }
         boolean isStream = isSuccess && call.route().kind() == CallKind.STREAMING;
         if (call.isHeadSent() && !isStream) {
-            fail(read.isNotRun() ? AttemptEnd.NOT_RUN : AttemptEnd.MAY_HAVE_RUN, "status " + status.code());
+            fail(parsedHeaders.isNotRun() ? AttemptEnd.NOT_RUN : AttemptEnd.MAY_HAVE_RUN, "status " + status.code());
             return;
         }
-        relay = isStream ? new StreamRelay(call, this) : new WholeRelay(call, this);
-        relay.begin(status, headers, read);
+        relay = isStream ? new StreamRelay(call, this) : new BufferedRelay(call, this);
+        relay.begin(status, headers, parsedHeaders);
     }
 
     @Override
     public void onBody(byte[] part) {
-        if (relay != null && !isOver) {
+        if (relay != null && !isEnded) {
             relay.part(part);
         }
     }
 
     @Override
     public void onEnd() {
-        if (relay != null && !isOver) {
+        if (relay != null && !isEnded) {
             relay.end();
         }
     }
@@ -209,7 +220,7 @@
         fail(end, failure.name());
     }
 
-    /** The answer was delivered. */
+    /** Called when the response has been delivered. */
     void succeed(int status) {
         if (close()) {
             call.dispatcher().onAttemptServed(call.service(), endpoint.id());
@@ -217,12 +228,15 @@
         }
     }
 
-    /** The attempt failed; a failure of this system's own follows if the call is not repeated. */
+    /**
+     * Called when the attempt failed; unless the call is retried, the caller gets a response that this instance
+     * creates.
+     */
     void fail(AttemptEnd end, String reason) {
-        fail(end, reason, () -> call.giveUp(end, endpoint.id().value() + ": " + reason));
+        fail(end, reason, () -> call.respondWithFailure(end, endpoint.id().value() + ": " + reason));
     }
 
-    /** The attempt failed; {@code deliverFailure} answers if the call is not repeated. */
+    /** Called when the attempt failed; {@code deliverFailure} responds to the caller unless the call is retried. */
     void fail(AttemptEnd end, String reason, Runnable deliverFailure) {
         if (close()) {
             call.dispatcher().onAttemptFailed(endpoint, end);
--- a/gateway/src/main/java/org/jasminehub/gateway/call/AttemptFailed.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/AttemptFailed.java
@@ -4,16 +4,16 @@
 import org.jasminehub.core.event.Event;
 
 /**
- * An attempt that gave no answer to deliver.
+ * Logged when an attempt ends without a response that can be delivered.
  *
  * @param requestId the call's id
  * @param endpoint the endpoint it was sent to
- * @param end what is known of its effect
- * @param reason what was seen
- * @param openCalls the endpoint's open calls as known here
- * @param lastEventId the last event of the stream that the caller has, -1 where it has none
- * @param elapsedMillis since the attempt was sent
- * @param isRepeated whether the call goes on at another endpoint
+ * @param end whether the endpoint may have run the call
+ * @param reason the observed failure
+ * @param openCalls the endpoint's open calls as known to this instance
+ * @param lastEventId the id of the last stream event delivered to the caller, -1 if there is none
+ * @param elapsedMillis the time since the attempt was sent
+ * @param isRepeated whether the call is retried
  */
 public record AttemptFailed(
         String requestId,
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallContext.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallContext.java
@@ -7,7 +7,7 @@
 import org.jasminehub.platform.hosted.CallHeaders;
 import org.jspecify.annotations.Nullable;
 
-/** What the filters found out about a call, each one adding to it. */
+/** The state of a call that the filters build up; each filter adds to it. */
 final class CallContext {
     final CallerRequest request;
     final long arrivedMillis;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallDispatcher.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallDispatcher.java
@@ -28,26 +28,28 @@
 import org.jasminehub.gateway.net.EndpointClient;
 
 /**
- * Places calls on endpoints, and keeps those that find none in line.
+ * Dispatches calls to endpoints and queues those for which no endpoint has capacity.
  *
- * <p>Used on the process's event loop only.
+ * <p>Must be used on the process's event loop only.
  */
 public final class CallDispatcher {
-    /** Fewer streams than this may all be at one endpoint. */
-    private static final int MIN_STREAMS_TO_JUDGE = 3;
+    /**
+     * With fewer open streams than this, all may be at a single endpoint, so they cannot show that a group is stalled.
+     */
+    private static final int MIN_STREAMS_FOR_STALL = 3;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EndpointClient client;
     private final EndpointController endpoints;
     private final EndpointLoads loads;
-    private final EndpointChoicePolicy choice;
-    private final CallRetryBudget budget;
+    private final EndpointChoicePolicy choicePolicy;
+    private final CallRetryBudget retryBudget;
     private final RandomGenerator random;
     private final EventSink events;
     private final ConcurrencyLimits concurrency;
-    private final Map<String, ServiceLine> lines = new HashMap<>();
-    private final GroupBackoff pauses;
+    private final Map<String, ServiceQueue> queues = new HashMap<>();
+    private final GroupBackoff groupBackoff;
     private final Set<RunningCall> running = new HashSet<>();
     private long nextSequence;
 
@@ -58,8 +60,8 @@
             EndpointClient client,
             EndpointController endpoints,
             EndpointLoads loads,
-            EndpointChoicePolicy choice,
-            CallRetryBudget budget,
+            EndpointChoicePolicy choicePolicy,
+            CallRetryBudget retryBudget,
             ConcurrencyLimits concurrency,
             RandomGenerator random,
             EventSink events) {
@@ -68,12 +70,12 @@
         this.client = client;
         this.endpoints = endpoints;
         this.loads = loads;
-        this.choice = choice;
-        this.budget = budget;
+        this.choicePolicy = choicePolicy;
+        this.retryBudget = retryBudget;
         this.concurrency = concurrency;
         this.random = random;
         this.events = events;
-        this.pauses = new GroupBackoff(clock);
+        this.groupBackoff = new GroupBackoff(clock);
     }
 
     /** Returns how many calls are open. */
@@ -81,15 +83,15 @@
         return running.size();
     }
 
-    /** Takes the calls in line as far as endpoints have room for them. */
-    public void drainLines() {
-        for (ServiceLine line : new ArrayList<>(lines.values())) {
-            for (RunningCall call : line.inOrder()) {
+    /** Sends queued calls while endpoints have capacity for them. */
+    public void dispatchQueued() {
+        for (ServiceQueue queue : new ArrayList<>(queues.values())) {
+            for (RunningCall call : queue.inDispatchOrder()) {
                 Optional<EndpointRecord> endpoint = choose(call);
                 if (endpoint.isEmpty()) {
                     break;
                 }
-                line.leave(call);
+                queue.remove(call);
                 call.send(endpoint.get());
             }
         }
@@ -97,21 +99,21 @@
 
     void onCall(RunningCall call) {
         running.add(call);
-        budget.onCall(call.service());
+        retryBudget.onCall(call.service());
     }
 
     void onDone(RunningCall call) {
         running.remove(call);
-        line(call.service()).leave(call);
+        queue(call.service()).remove(call);
     }
 
-    /** Returns an endpoint with room for the call, empty where none has. */
+    /** Returns an endpoint with capacity for the call, or empty if there is none. */
     Optional<EndpointRecord> choose(RunningCall call) {
         List<EndpointRecord> serving = endpoints.serving(call.service()).stream()
                 .filter(endpoint -> endpoint.seat() == null
-                        || !pauses.isBackingOff(endpoint.seat().group()))
+                        || !groupBackoff.isBackingOff(endpoint.seat().group()))
                 .toList();
-        return choice.choose(serving, call.tried(), maxCallsPerSlot(call, serving));
+        return choicePolicy.choose(serving, call.triedEndpoints(), maxCallsPerSlot(call, serving));
     }
 
     private double maxCallsPerSlot(RunningCall call, List<EndpointRecord> serving) {
@@ -127,34 +129,35 @@
             open += loads.openCalls(endpoint.id());
             slots += endpoint.slots();
         }
-        StreamConcurrencyLimit pace = line(call.service()).pace();
-        return Math.min(limit, pace.callsPerSlot(engine, call.route().maxPauseMillis(), open / Math.max(1, slots)));
+        StreamConcurrencyLimit concurrencyLimit = queue(call.service()).concurrencyLimit();
+        return Math.min(
+                limit, concurrencyLimit.callsPerSlot(engine, call.route().maxPauseMillis(), open / Math.max(1, slots)));
     }
 
-    private ServiceLine line(String service) {
-        return lines.computeIfAbsent(service, each -> new ServiceLine(clock));
+    private ServiceQueue queue(String service) {
+        return queues.computeIfAbsent(service, each -> new ServiceQueue(clock));
     }
 
     boolean hasEndpoints(String service) {
         return !endpoints.serving(service).isEmpty();
     }
 
-    /** Returns whether a call may get a place within {@code leftMillis}. */
-    boolean mayWait(RunningCall call, long leftMillis) {
-        return line(call.service()).mayWait(call, leftMillis);
+    /** Returns whether the call is likely to get capacity within {@code maxWaitMillis}. */
+    boolean mayWait(RunningCall call, long maxWaitMillis) {
+        return queue(call.service()).mayWait(call, maxWaitMillis);
     }
 
-    void waitInLine(RunningCall call) {
-        line(call.service()).join(call);
+    void enqueue(RunningCall call) {
+        queue(call.service()).enqueue(call);
     }
 
-    int waiting(String service) {
-        return line(service).length();
+    int queueLength(String service) {
+        return queue(service).length();
     }
 
-    /** Returns when a caller that was refused for want of a place should come back. */
+    /** Returns the delay after which a caller refused for lack of capacity should retry. */
     long retryAfterMillis(String service) {
-        return line(service).retryAfterMillis(random.nextDouble());
+        return queue(service).retryAfterMillis(random.nextDouble());
     }
 
     void onSent(EndpointId endpoint) {
@@ -162,46 +165,46 @@
     }
 
     void onAttemptServed(String service, EndpointId endpoint) {
-        line(service).onPlaceFreed();
+        queue(service).onCapacityFreed();
         loads.onEnded(endpoint);
         loads.onSuccess(endpoint);
-        loop.execute(this::drainLines);
+        loop.execute(this::dispatchQueued);
     }
 
     void onAttemptFailed(EndpointRecord endpoint, AttemptEnd end) {
         loads.onEnded(endpoint.id());
         loads.onFailure(endpoint.id());
         GroupSeat seat = endpoint.seat();
-        if (end == AttemptEnd.NOT_RUN && seat != null && pauses.onRefused(seat.group())) {
-            after(GroupBackoff.BACKOFF_MILLIS, this::drainLines);
+        if (end == AttemptEnd.NOT_RUN && seat != null && groupBackoff.onRefused(seat.group())) {
+            after(GroupBackoff.BACKOFF_MILLIS, this::dispatchQueued);
         }
-        loop.execute(this::drainLines);
+        loop.execute(this::dispatchQueued);
     }
 
     void onAttemptCancelled(String service, EndpointId endpoint) {
-        line(service).onPlaceFreed();
+        queue(service).onCapacityFreed();
         loads.onEnded(endpoint);
-        loop.execute(this::drainLines);
+        loop.execute(this::dispatchQueued);
     }
 
     /**
-     * Notes that a stream of {@code service} at {@code endpoint} has made progress.
+     * Records progress of a stream of {@code service} at {@code endpoint}.
      *
-     * @param pauseMillis the time since its last event, negative for its first one
+     * @param pauseMillis the time since the stream's previous event, negative for its first event
      */
     void onProgress(String service, EndpointRecord endpoint, long pauseMillis) {
-        line(service).onProgress(pauseMillis);
+        queue(service).onProgress(pauseMillis);
         if (endpoint.seat() != null) {
-            pauses.onProgress(endpoint.seat().group());
+            groupBackoff.onProgress(endpoint.seat().group());
         }
     }
 
-    /** Returns whether no stream of {@code service} has made progress for {@code millis}, though several run here. */
+    /** Returns whether several streams of {@code service} are open and none has made progress for {@code millis}. */
     boolean isStalled(String service, long millis) {
-        long runningStreams = running.stream()
+        long openStreams = running.stream()
                 .filter(call -> call.isHeadSent() && call.service().equals(service))
                 .count();
-        return runningStreams >= MIN_STREAMS_TO_JUDGE && line(service).millisSinceProgress() >= millis;
+        return openStreams >= MIN_STREAMS_FOR_STALL && queue(service).millisSinceProgress() >= millis;
     }
 
     int openCallsAt(EndpointId endpoint) {
@@ -213,14 +216,14 @@
     }
 
     boolean tryRetry(String service) {
-        return budget.tryRetry(service);
+        return retryBudget.tryRetry(service);
     }
 
     long nextSequence() {
         return nextSequence++;
     }
 
-    double position() {
+    double nextRandom() {
         return random.nextDouble();
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallEnded.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallEnded.java
@@ -3,23 +3,23 @@
 import org.jasminehub.core.event.Event;
 
 /**
- * How a call ended.
+ * Logged when a call ends.
  *
- * @param kind served, refused or left by its caller
+ * @param kind whether the call was served, refused or ended by the caller
  * @param requestId the call's id
- * @param route the route, empty where none matched
- * @param workspace the workspace, empty where none is known
- * @param status the HTTP status sent, 0 where none was
- * @param code the error code, empty where the call was served
- * @param reason what decided it
- * @param endpoint the last endpoint it was sent to, empty where it was sent to none
- * @param sends how often it was sent
- * @param runs how many endpoints may have run it
- * @param queuedMillis how long it waited for an endpoint
- * @param firstByteMillis when the answer began, from the call's arrival; -1 where it did not
- * @param totalMillis when it ended, from its arrival
- * @param configuration the version of the configuration that decided
- * @param configurationAgeMillis how old that knowledge was on arrival
+ * @param route the matched route, empty if none
+ * @param workspace the workspace, empty if unknown
+ * @param status the HTTP status sent, 0 if none was sent
+ * @param code the error code, empty if the call was served
+ * @param reason why the call was refused or ended
+ * @param endpoint the endpoint of the last attempt, empty if the call was never sent
+ * @param sends the number of attempts
+ * @param runs the number of endpoints that may have run the call
+ * @param queuedMillis the time spent waiting for an endpoint
+ * @param firstByteMillis the time from arrival to the start of the response, -1 if none was started
+ * @param totalMillis the time from arrival to the end of the call
+ * @param configuration the version of the configuration that was applied
+ * @param configurationAgeMillis how long before arrival that configuration was last confirmed to be current
  */
 public record CallEnded(
         CallEventKind kind,
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallEventKind.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallEventKind.java
@@ -3,17 +3,17 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** Events of calls; numbers 5500 to 5599. */
+/** Log events of calls; numbers 5500 to 5599. */
 public enum CallEventKind implements EventKind {
-    /** A call has its answer. */
+    /** The complete response of an endpoint was delivered to the caller. */
     CALL_SERVED(5500, Severity.INFO, "An endpoint's answer was delivered whole."),
-    /** A call was not served. */
+    /** The call was refused or failed. */
     CALL_REFUSED(5501, Severity.WARNING, "A call was refused or given up; the line says why."),
-    /** The caller went first. */
+    /** The caller disconnected before the response was complete. */
     CALLER_GONE(5502, Severity.INFO, "The caller closed its connection before its answer was complete."),
-    /** An attempt at an endpoint failed. */
+    /** An attempt ended without a response that can be delivered. */
     ATTEMPT_FAILED(5503, Severity.WARNING, "An endpoint did not give a whole answer; the line says what follows."),
-    /** A request could not be read. */
+    /** The request is not valid HTTP or exceeds a limit. */
     REQUEST_MALFORMED(5504, Severity.WARNING, "Bytes of a caller are no request; the connection is closed.");
 
     private final int number;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallFilter.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallFilter.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One step before a call is placed: adds to the context or refuses the call. */
+/** A step applied before a call is dispatched; adds to the context or refuses the call. */
 @FunctionalInterface
 interface CallFilter {
     Optional<Refusal> apply(CallContext context);
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallFilters.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallFilters.java
@@ -10,7 +10,7 @@
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
 import org.jasminehub.platform.hosted.RecordRejectedException;
 
-/** The chain of filters that every call passes, in order. */
+/** The filters that are applied to every call, in order. */
 final class CallFilters {
     private static final int UNAUTHORIZED = 401;
 
@@ -28,7 +28,7 @@
     }
 
     List<CallFilter> chain() {
-        return List.of(this::readHeaders, this::takeConfiguration, this::matchRoute, this::checkKey, this::setDeadline);
+        return List.of(this::readHeaders, this::loadConfiguration, this::matchRoute, this::checkKey, this::setDeadline);
     }
 
     private Optional<Refusal> readHeaders(CallContext context) {
@@ -40,19 +40,19 @@
         }
     }
 
-    private Optional<Refusal> takeConfiguration(CallContext context) {
+    private Optional<Refusal> loadConfiguration(CallContext context) {
         context.tableAgeMillis = configuration.ageMillis();
         context.table = configuration.inForce().orElse(null);
         return context.table == null
-                ? Optional.of(Refusal.later(
-                        ErrorCode.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration is known here yet"))
+                ? Optional.of(Refusal.retryable(
+                        ErrorCode.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration has been received yet"))
                 : Optional.empty();
     }
 
     private Optional<Refusal> matchRoute(CallContext context) {
         RouteTable table = context.table;
         if (table == null) {
-            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "no configuration was taken"));
+            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "call reached route matching without a configuration"));
         }
         context.route =
                 table.match(context.request.host(), context.request.path()).orElse(null);
@@ -60,9 +60,9 @@
             return Optional.empty();
         }
         return Optional.of(
-                isTrusted(context)
-                        ? Refusal.of(ErrorCode.ROUTE_UNKNOWN, "no route for this host and path")
-                        : stale(context));
+                isConfigurationFresh(context)
+                        ? Refusal.of(ErrorCode.ROUTE_UNKNOWN, "no route matches the host and path")
+                        : staleConfiguration(context));
     }
 
     private Optional<Refusal> checkKey(CallContext context) {
@@ -72,13 +72,14 @@
         if (route == null || table == null || headers == null || route.isPublic() || !table.needsKeys()) {
             return Optional.empty();
         }
-        if (!isTrusted(context)) {
-            return Optional.of(stale(context));
+        if (!isConfigurationFresh(context)) {
+            return Optional.of(staleConfiguration(context));
         }
         context.grant =
                 headers.key() == null ? null : table.grant(headers.key()).orElse(null);
         return context.grant == null
-                ? Optional.of(Refusal.of(ErrorCode.WORKSPACE_UNKNOWN, UNAUTHORIZED, "no workspace holds the key sent"))
+                ? Optional.of(
+                        Refusal.of(ErrorCode.WORKSPACE_UNKNOWN, UNAUTHORIZED, "the API key belongs to no workspace"))
                 : Optional.empty();
     }
 
@@ -86,24 +87,26 @@
         Route route = context.route;
         CallHeaders headers = context.headers;
         if (route == null || headers == null) {
-            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "no route was matched"));
+            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "call reached the deadline check without a route"));
         }
         long callerMillis = headers.remainingMillis() == null ? route.timeoutMillis() : headers.remainingMillis();
         context.deadlineMillis = context.arrivedMillis + Math.min(callerMillis, route.timeoutMillis());
         return context.deadlineMillis <= clock.monotonicMillis()
-                ? Optional.of(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the call came with no time left"))
+                ? Optional.of(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the deadline had passed on arrival"))
                 : Optional.empty();
     }
 
-    /** A revoked key must be unknown here in time, so an old table decides nothing about keys and routes. */
-    private boolean isTrusted(CallContext context) {
+    /**
+     * Returns whether keys and routes may be checked against the configuration; an outdated one may hold revoked keys.
+     */
+    private boolean isConfigurationFresh(CallContext context) {
         return context.tableAgeMillis < settings.maxConfigurationAgeMillis();
     }
 
-    private static Refusal stale(CallContext context) {
-        return Refusal.later(
+    private static Refusal staleConfiguration(CallContext context) {
+        return Refusal.retryable(
                 ErrorCode.NOT_READY,
                 NOT_READY_RETRY_MILLIS,
-                "the configuration known here is " + context.tableAgeMillis + " ms old");
+                "the configuration was last confirmed " + context.tableAgeMillis + " ms ago");
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallPipeline.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallPipeline.java
@@ -9,7 +9,7 @@
 import org.jasminehub.gateway.net.CallerResponse;
 
 /**
- * Takes calls through the filters and on to an endpoint.
+ * Applies the filters to each call and dispatches the calls that pass.
  *
  * <pre>{@code
  * CallerServer.start(loop, address, limits, new CallPipeline(clock, configuration, settings, dispatcher), onMalformed);
@@ -20,7 +20,7 @@
     private final List<CallFilter> filters;
     private final CallDispatcher dispatcher;
 
-    /** Creates a pipeline that hands the calls it lets pass to {@code dispatcher}. */
+    /** Creates a pipeline that passes accepted calls to {@code dispatcher}. */
     public CallPipeline(
             Clock clock, ConfigurationView configuration, CallSettings settings, CallDispatcher dispatcher) {
         this.clock = clock;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallSettings.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallSettings.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What bounds calls.
+ * Settings for the handling of calls.
  *
- * @param maxConfigurationAgeMillis the oldest knowledge of the configuration under which keys are honoured
+ * @param maxConfigurationAgeMillis the configuration age from which API keys are no longer accepted
  */
 public record CallSettings(long maxConfigurationAgeMillis) {
     /** Creates settings. */
--- a/gateway/src/main/java/org/jasminehub/gateway/call/ConcurrencyLimits.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/ConcurrencyLimits.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.serving.ServiceProfile;
 import org.jspecify.annotations.Nullable;
 
-/** How many calls an endpoint of a service may have open for each of its slots. */
+/** Limits the open calls per slot of an endpoint. */
 @FunctionalInterface
 public interface ConcurrencyLimits {
-    /** Returns the limit for endpoints of {@code service}; a null profile is a plain service. */
+    /** Returns the limit for endpoints of {@code service}; null stands for a service without a profile. */
     double maxCallsPerSlot(@Nullable ServiceProfile service);
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/ConfigurationView.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/ConfigurationView.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 import org.jasminehub.core.serving.RouteTable;
 
-/** The configuration in force and how old that knowledge is. */
+/** Read access to the configuration in force and its age. */
 public interface ConfigurationView {
-    /** Returns the configuration in force, empty before the first one. */
+    /** Returns the configuration in force, or empty before the first one has been received. */
     Optional<RouteTable> inForce();
 
-    /** Returns how long ago it was last known that no newer version exists. */
+    /** Returns the time since the configuration was last confirmed to be the newest version. */
     long ageMillis();
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
@@ -11,17 +11,17 @@
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
 
 /**
- * A final answer of this system's own.
+ * A response with which this instance itself refuses or fails a call.
  *
- * @param code what the caller sees
+ * @param code the error code sent to the caller
  * @param status the HTTP status
- * @param retryAfterMillis when to come back, {@link #NO_RETRY} where that is not said
- * @param reason for the log line and the answer's text
+ * @param retryAfterMillis the delay after which the caller should retry, or {@link #NO_RETRY}
+ * @param reason the text for the log line and the response body
  */
 public record Refusal(ErrorCode code, int status, long retryAfterMillis, String reason) {
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** No time to come back is stated. */
+    /** Value of {@link #retryAfterMillis} for responses without a Retry-After header. */
     public static final long NO_RETRY = -1;
 
     static Refusal of(ErrorCode code, String reason) {
@@ -32,11 +32,11 @@
         return new Refusal(code, status, NO_RETRY, reason);
     }
 
-    static Refusal later(ErrorCode code, long retryAfterMillis, String reason) {
+    static Refusal retryable(ErrorCode code, long retryAfterMillis, String reason) {
         return new Refusal(code, code.httpStatus(), retryAfterMillis, reason);
     }
 
-    /** Writes this answer; {@code requestId} is empty where the request had none. */
+    /** Writes this response; {@code requestId} is empty if the request had none. */
     void write(CallerResponse answer, String requestId) {
         HttpHeaders headers = new DefaultHttpHeaders(false);
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
--- a/gateway/src/main/java/org/jasminehub/gateway/call/AnswerRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/ResponseRelay.java
@@ -4,14 +4,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import org.jasminehub.platform.hosted.AnswerHeaders;
 
-/** Passes one endpoint's answer on to the caller. */
-interface AnswerRelay {
-    /** Takes the head. */
-    void begin(HttpResponseStatus status, HttpHeaders headers, AnswerHeaders read);
+/** Relays the response of one endpoint to the caller. */
+interface ResponseRelay {
+    /** Called with the head of the response. */
+    void begin(HttpResponseStatus status, HttpHeaders headers, AnswerHeaders parsedHeaders);
 
-    /** Takes a part of the body. */
+    /** Called with each part of the body. */
     void part(byte[] bytes);
 
-    /** The endpoint's answer is whole. */
+    /** Called when the endpoint's response is complete. */
     void end();
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
@@ -18,16 +18,19 @@
 import org.jasminehub.gateway.net.CallerResponse;
 import org.jspecify.annotations.Nullable;
 
-/** One call from its admission to its answer, over as many attempts as its route allows. */
+/** A call from its admission to its response, across all attempts that its route allows. */
 final class RunningCall implements CallerExchange {
-    /** How long a call that was sent before waits for a place: about the time in which an engine finishes a stream. */
-    private static final long MAX_REQUEUED_MILLIS = 1_500;
+    /**
+     * Longest time in the queue for a call that was already sent once; about the time an engine needs to finish a
+     * stream.
+     */
+    private static final long MAX_REQUEUE_WAIT_MILLIS = 1_500;
 
-    /** When callers of a service without endpoints come back: registrations are read again within that. */
+    /** Retry delay for a service without endpoints; registrations are read again within this time. */
     private static final long NO_ENDPOINT_RETRY_MILLIS = 1_000;
 
-    /** About the time of a pass or two. */
-    private static final long REFUSED_PAUSE_MILLIS = 150;
+    /** Delay before a retry after an engine refused a call; about one or two passes of a group. */
+    private static final long REFUSAL_RETRY_DELAY_MILLIS = 150;
 
     private static final int LOWEST_PRIORITY = 9;
 
@@ -35,11 +38,11 @@
     private final CallerResponse answer;
     private final CallDispatcher dispatcher;
     private final long sequence;
-    private final Set<EndpointId> tried = new HashSet<>();
+    private final Set<EndpointId> triedEndpoints = new HashSet<>();
     private String service = "";
     private @Nullable Attempt attempt;
-    private @Nullable ScheduledFuture<?> deadline;
-    private @Nullable ScheduledFuture<?> lineTimer;
+    private @Nullable ScheduledFuture<?> deadlineTimer;
+    private @Nullable ScheduledFuture<?> queueTimer;
     private String lastEndpoint = "";
     private int sends;
     private int runs;
@@ -57,11 +60,11 @@
         this.sequence = dispatcher.nextSequence();
     }
 
-    /** Places the call; its context must have passed all filters. */
+    /** Dispatches the call; its context must have passed all filters. */
     void start() {
         lastEventId = context.headers == null ? null : context.headers.lastEventId();
-        deadline = dispatcher.after(remainingMillis(), this::onDeadline);
-        place();
+        deadlineTimer = dispatcher.after(remainingMillis(), this::onDeadline);
+        dispatch();
     }
 
     CallContext context() {
@@ -79,14 +82,14 @@
     Route route() {
         Route route = context.route;
         if (route == null) {
-            throw new CallStateException("a call without a route was placed");
+            throw new CallStateException("call dispatched without a route");
         }
         return route;
     }
 
     String service() {
         if (service.isEmpty()) {
-            service = route().serviceAt(dispatcher.position());
+            service = route().serviceAt(dispatcher.nextRandom());
         }
         return service;
     }
@@ -96,8 +99,8 @@
         return context.table == null ? null : context.table.services().get(service());
     }
 
-    Set<EndpointId> tried() {
-        return tried;
+    Set<EndpointId> triedEndpoints() {
+        return triedEndpoints;
     }
 
     int priority() {
@@ -110,12 +113,15 @@
         return sequence;
     }
 
-    /** Returns whether the caller was refused before and is late in any case. */
+    /**
+     * Returns whether the call is a retry by a caller that was refused before. Such a call misses its target latency in
+     * any case.
+     */
     boolean isCallerRetry() {
-        return CallQueuePolicy.isCallerRetry(route(), allowedMillis());
+        return CallQueuePolicy.isCallerRetry(route(), timeBudgetMillis());
     }
 
-    private long allowedMillis() {
+    private long timeBudgetMillis() {
         return context.deadlineMillis - context.arrivedMillis;
     }
 
@@ -143,10 +149,12 @@
         }
     }
 
-    private void place() {
+    private void dispatch() {
         if (!dispatcher.hasEndpoints(service())) {
-            finishRefused(
-                    Refusal.later(ErrorCode.NO_ENDPOINT, NO_ENDPOINT_RETRY_MILLIS, "no endpoint of " + service()));
+            endWithRefusal(Refusal.retryable(
+                    ErrorCode.NO_ENDPOINT,
+                    NO_ENDPOINT_RETRY_MILLIS,
+                    "no endpoint is available for service " + service()));
             return;
         }
         Optional<EndpointRecord> endpoint = dispatcher.choose(this);
@@ -155,67 +163,69 @@
             return;
         }
         queuedSinceMillis = dispatcher.clock().monotonicMillis();
-        long leftInLineMillis = CallQueuePolicy.maxWaitMillis(route(), allowedMillis()) - elapsedMillis();
+        long maxWaitMillis = CallQueuePolicy.maxWaitMillis(route(), timeBudgetMillis()) - elapsedMillis();
         if (sends > 0) {
-            // Work has been spent on it, so it waits for a place also when it will be late.
-            leftInLineMillis = Math.min(remainingMillis(), MAX_REQUEUED_MILLIS);
+            // Work has already been spent on the call, so it stays queued even if it will miss its target latency.
+            maxWaitMillis = Math.min(remainingMillis(), MAX_REQUEUE_WAIT_MILLIS);
         }
-        if (sends == 0 && !dispatcher.mayWait(this, leftInLineMillis)) {
-            onNoPlace();
+        if (sends == 0 && !dispatcher.mayWait(this, maxWaitMillis)) {
+            onNoCapacity();
             return;
         }
-        lineTimer = dispatcher.after(leftInLineMillis, this::onNoPlace);
-        dispatcher.waitInLine(this);
+        queueTimer = dispatcher.after(maxWaitMillis, this::onNoCapacity);
+        dispatcher.enqueue(this);
     }
 
     /** Sends the call to {@code endpoint}. */
     void send(EndpointRecord endpoint) {
-        leaveLine();
+        leaveQueue();
         sends++;
-        tried.add(endpoint.id());
+        triedEndpoints.add(endpoint.id());
         lastEndpoint = endpoint.id().value();
         Attempt next = new Attempt(this, endpoint);
         attempt = next;
         next.start();
     }
 
-    private void leaveLine() {
+    private void leaveQueue() {
         if (queuedSinceMillis >= 0) {
             queuedMillis += dispatcher.clock().monotonicMillis() - queuedSinceMillis;
             queuedSinceMillis = -1;
         }
-        if (lineTimer != null) {
-            lineTimer.cancel(false);
-            lineTimer = null;
+        if (queueTimer != null) {
+            queueTimer.cancel(false);
+            queueTimer = null;
         }
     }
 
-    /** Refuses the call: it waited in vain, or the line ahead of it is too long to wait at all. */
-    private void onNoPlace() {
+    /** Refuses the call because no endpoint had capacity in time, or because the queue ahead of it is too long. */
+    private void onNoCapacity() {
         if (!isDone) {
-            finishRefused(Refusal.later(
+            endWithRefusal(Refusal.retryable(
                     ErrorCode.OVERLOADED,
                     dispatcher.retryAfterMillis(service()),
-                    "no endpoint of " + service() + " had room in time; " + dispatcher.waiting(service())
-                            + " calls in line"));
+                    "no endpoint of service " + service() + " had capacity in time; "
+                            + dispatcher.queueLength(service()) + " calls queued"));
         }
     }
 
     private void onDeadline() {
         if (!isDone) {
-            finishRefused(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the time of the call is over"));
+            endWithRefusal(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the deadline of the call has passed"));
         }
     }
 
-    /** Returns whether the call could go on elsewhere if the present attempt were given up now. */
-    boolean mayRepeatAfterRun() {
+    /** Returns whether the call could be retried if the current attempt were ended now. */
+    boolean mayRetryAfterRun() {
         return CallRetryPolicy.mayRetry(route(), AttemptEnd.MAY_HAVE_RUN, runs + 1, sends, remainingMillis());
     }
 
-    /** The present attempt ended without an answer to deliver: goes on elsewhere, or gives up with {@code refusal}. */
+    /**
+     * Called when the current attempt failed; retries the call, or runs {@code deliverFailure} if no retry is allowed.
+     */
     void onAttemptFailed(Attempt failed, AttemptEnd end, String reason, Runnable deliverFailure) {
         runs += end.isNotRun() ? 0 : 1;
-        boolean isRepeated = CallRetryPolicy.mayRetry(route(), end, runs, sends, remainingMillis())
+        boolean isRetried = CallRetryPolicy.mayRetry(route(), end, runs, sends, remainingMillis())
                 && dispatcher.tryRetry(service());
         dispatcher
                 .events()
@@ -227,64 +237,64 @@
                         dispatcher.openCallsAt(failed.endpoint().id()),
                         lastEventId == null ? -1 : lastEventId,
                         failed.elapsedMillis(),
-                        isRepeated));
+                        isRetried));
         attempt = null;
-        ServiceProfile served = profile();
-        if (isRepeated && end == AttemptEnd.NOT_RUN && served != null && served.engine() != null) {
-            // An engine that refuses is full or its group is forming anew; both need a moment.
-            dispatcher.after(REFUSED_PAUSE_MILLIS, () -> {
+        ServiceProfile serviceProfile = profile();
+        if (isRetried && end == AttemptEnd.NOT_RUN && serviceProfile != null && serviceProfile.engine() != null) {
+            // An engine refuses calls while it is full or while its group is being re-formed; both take a moment.
+            dispatcher.after(REFUSAL_RETRY_DELAY_MILLIS, () -> {
                 if (!isDone) {
-                    place();
+                    dispatch();
                 }
             });
-        } else if (isRepeated) {
-            place();
+        } else if (isRetried) {
+            dispatch();
         } else {
             deliverFailure.run();
         }
     }
 
-    /** Answers with a failure of this system's own. */
-    void giveUp(AttemptEnd end, String reason) {
+    /** Responds with an error that this instance creates, because the call failed and is not retried. */
+    void respondWithFailure(AttemptEnd end, String reason) {
         if (end.isNotRun() && runs == 0) {
-            finishRefused(Refusal.later(ErrorCode.OVERLOADED, dispatcher.retryAfterMillis(service()), reason));
+            endWithRefusal(Refusal.retryable(ErrorCode.OVERLOADED, dispatcher.retryAfterMillis(service()), reason));
         } else {
-            finishRefused(Refusal.of(ErrorCode.ENDPOINT_FAILED, reason));
+            endWithRefusal(Refusal.of(ErrorCode.ENDPOINT_FAILED, reason));
         }
     }
 
-    /** Refuses the call before it was placed. */
+    /** Refuses the call before it was dispatched. */
     void refuse(Refusal refusal) {
-        finishRefused(refusal);
+        endWithRefusal(refusal);
     }
 
-    private void finishRefused(Refusal refusal) {
+    private void endWithRefusal(Refusal refusal) {
         if (isDone) {
             return;
         }
         boolean mayHaveRun = runs > 0 || attempt != null;
-        Refusal stated = refusal;
+        Refusal response = refusal;
         if (mayHaveRun && refusal.status() == HttpResponseStatus.SERVICE_UNAVAILABLE.code()) {
-            // The status would promise that nothing ran.
-            stated = Refusal.of(ErrorCode.ENDPOINT_FAILED, refusal.reason());
+            // Callers read 503 as "not run", which is not certain here.
+            response = Refusal.of(ErrorCode.ENDPOINT_FAILED, refusal.reason());
         }
         if (!mayHaveRun && refusal.code() == ErrorCode.DEADLINE_EXCEEDED) {
-            stated = Refusal.later(
+            response = Refusal.retryable(
                     ErrorCode.DEADLINE_UNREACHABLE, dispatcher.retryAfterMillis(service()), refusal.reason());
         }
         end(
                 CallEventKind.CALL_REFUSED,
-                isHeadSent ? 0 : stated.status(),
-                stated.code().code(),
-                stated.reason());
+                isHeadSent ? 0 : response.status(),
+                response.code().code(),
+                response.reason());
         if (isHeadSent) {
             answer.abort();
             return;
         }
-        stated.write(answer, context.requestId());
+        response.write(answer, context.requestId());
     }
 
-    /** The answer is delivered. */
+    /** Called when the response has been delivered. */
     void onServed(int status) {
         attempt = null;
         end(CallEventKind.CALL_SERVED, status, "", "");
@@ -293,7 +303,7 @@
     @Override
     public void onCallerDisconnected() {
         if (!isDone) {
-            end(CallEventKind.CALLER_GONE, 0, "", "after " + sends + " sends");
+            end(CallEventKind.CALLER_GONE, 0, "", "disconnected after " + sends + " attempts");
         }
     }
 
@@ -306,9 +316,9 @@
 
     private void end(CallEventKind kind, int status, String code, String reason) {
         isDone = true;
-        leaveLine();
-        if (deadline != null) {
-            deadline.cancel(false);
+        leaveQueue();
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
         }
         if (attempt != null) {
             runs++;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
@@ -11,10 +11,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Passes whole events of a stream on as they come, each number once and in order; after a cut the same answer goes on
- * with another endpoint's events.
+ * Relays the complete events of a stream as they arrive, each event id once and in order. If the stream is interrupted,
+ * the response to the caller continues with the events of another endpoint.
  */
-final class StreamRelay implements AnswerRelay {
+final class StreamRelay implements ResponseRelay {
     private final RunningCall call;
     private final Attempt attempt;
     private final EventSplitter splitter = new EventSplitter();
@@ -26,10 +26,10 @@
     }
 
     @Override
-    public void begin(HttpResponseStatus answerStatus, HttpHeaders headers, AnswerHeaders read) {
-        status = answerStatus;
+    public void begin(HttpResponseStatus responseStatus, HttpHeaders headers, AnswerHeaders parsedHeaders) {
+        status = responseStatus;
         if (!call.isHeadSent()) {
-            call.answer().begin(answerStatus, AnswerHeadersAdapter.forCaller(headers), CallerResponse.UNKNOWN_LENGTH);
+            call.answer().begin(responseStatus, AnswerHeadersAdapter.forCaller(headers), CallerResponse.UNKNOWN_LENGTH);
             call.onHeadSent();
         }
     }
@@ -40,7 +40,7 @@
             @Nullable Long last = call.lastEventId();
             @Nullable Long id = event.id();
             if (id != null && last != null && id != last + 1) {
-                attempt.fail(AttemptEnd.MAY_HAVE_RUN, "event " + id + " after " + last);
+                attempt.fail(AttemptEnd.MAY_HAVE_RUN, "event " + id + " received after event " + last);
                 return;
             }
             call.answer().part(event.bytes());
@@ -57,7 +57,7 @@
     @Override
     public void end() {
         if (splitter.hasPartialEvent()) {
-            attempt.fail(AttemptEnd.MAY_HAVE_RUN, "the stream ended inside an event");
+            attempt.fail(AttemptEnd.MAY_HAVE_RUN, "stream ended inside an event");
             return;
         }
         attempt.succeed(status.code());
--- a/gateway/src/main/java/org/jasminehub/gateway/call/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/package-info.java
@@ -1,4 +1,4 @@
-/** A caller's call from its request to its answer. */
+/** The handling of a caller's call, from request to response. */
 @NullMarked
 package org.jasminehub.gateway.call;
 
--- a/gateway/src/main/java/org/jasminehub/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/ConfigurationController.java
@@ -14,12 +14,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the configuration in force, which only moves forward.
+ * Holds the configuration in force; its version only increases.
  *
- * <p>Used on the process's event loop only.
+ * <p>Must be used on the process's event loop only.
  */
 public final class ConfigurationController {
-    /** Knowledge older than this helps nobody, and its sum with other times must not overflow. */
+    /** Older confirmations are useless; the limit also prevents an overflow when ages are subtracted from times. */
     private static final long MAX_PEER_AGE_MILLIS = 60_000;
 
     private final EventSink events;
@@ -28,7 +28,7 @@
     private byte @Nullable [] bytesInForce;
     private Runnable onApplied = () -> {};
 
-    /** Creates a controller that knows no configuration yet. */
+    /** Creates a controller without a configuration. */
     public ConfigurationController(
             StoreClient store, FollowerSettings settings, DelayedRunner timer, Clock clock, EventSink events) {
         this.events = events;
@@ -46,57 +46,57 @@
                 });
     }
 
-    /** Starts to follow the configuration; {@code applied} runs after each version that takes force. */
+    /** Starts to follow the configuration log; {@code applied} runs after each version that comes into force. */
     public void start(Runnable applied) {
         onApplied = applied;
         follower.restart();
     }
 
-    /** Reads again at once, because what is believed may be older than it looks. */
+    /** Reads the log again at once, because the configuration may be older than its recorded age. */
     public void refresh() {
         follower.restart();
     }
 
-    /** Returns the configuration in force, empty before the first one. */
+    /** Returns the configuration in force, or empty before the first one has been received. */
     public Optional<RouteTable> inForce() {
         return Optional.ofNullable(inForce);
     }
 
-    /** Returns the configuration in force as it was written, null before the first one. */
+    /** Returns the serialized form of the configuration in force, or null before the first one has been received. */
     public byte @Nullable [] bytesInForce() {
         return bytesInForce;
     }
 
-    /** Returns how long ago it was last known that no newer version exists. */
+    /** Returns the time since the configuration was last confirmed to be the newest version. */
     public long ageMillis() {
         return follower.age().millis();
     }
 
-    /** Returns whether the store does not answer at present. */
+    /** Returns whether the store is currently not answering. */
     public boolean isStoreLost() {
-        return follower.isLost();
+        return follower.isStoreLost();
     }
 
-    /** Takes a configuration that a peer passed on, together with how old the peer's own knowledge is. */
+    /** Applies a configuration received from a peer if it is newer than the one in force. */
     public void onPeerConfiguration(byte[] bytes) {
         apply(bytes);
     }
 
     /**
-     * Notes that a peer with the same version knew it to be the newest one.
+     * Records that a peer confirmed the version in force to be the newest one.
      *
-     * @param asked when the question was sent that the peer answered
-     * @param peerAgeMillis how old the peer's own knowledge was when it answered
+     * @param requestedAt the time at which the request that the peer answered was sent
+     * @param peerAgeMillis the age of the peer's own confirmation when it answered
      */
-    public void onPeerKnows(StateAge.ClockReading asked, long peerAgeMillis) {
+    public void onPeerConfirmation(StateAge.ClockReading requestedAt, long peerAgeMillis) {
         if (peerAgeMillis >= 0 && peerAgeMillis < MAX_PEER_AGE_MILLIS) {
             follower.age()
                     .confirm(new StateAge.ClockReading(
-                            asked.monotonicMillis() - peerAgeMillis, asked.wallMillis() - peerAgeMillis));
+                            requestedAt.monotonicMillis() - peerAgeMillis, requestedAt.wallMillis() - peerAgeMillis));
         }
     }
 
-    /** Stops following. */
+    /** Stops following the log. */
     public void stop() {
         follower.stop();
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/ControlEvent.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/ControlEvent.java
@@ -3,11 +3,11 @@
 import org.jasminehub.core.event.Event;
 
 /**
- * A change of what this instance believes.
+ * A change of the state that this instance holds about itself or the platform.
  *
- * @param kind what happened
- * @param subject what it concerns: an endpoint, an instance, a log or a version
- * @param detail what it is now, or why
- * @param ageMillis how old the information was, 0 where it is this process's own
+ * @param kind the kind of change
+ * @param subject the subject: an endpoint, an instance, a log or a version
+ * @param detail the new state or the reason
+ * @param ageMillis the age of the information, 0 if it originates in this process
  */
 public record ControlEvent(ControlEventKind kind, String subject, String detail, long ageMillis) implements Event {}
--- a/gateway/src/main/java/org/jasminehub/gateway/control/DelayedRunner.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/DelayedRunner.java
@@ -1,6 +1,6 @@
 package org.jasminehub.gateway.control;
 
-/** Runs actions later on the thread that control state belongs to. */
+/** Runs delayed actions on the thread that owns the control state. */
 @FunctionalInterface
 public interface DelayedRunner {
     /** Runs {@code action} after {@code delayMillis}. */
--- a/gateway/src/main/java/org/jasminehub/gateway/control/EndpointController.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/EndpointController.java
@@ -20,28 +20,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Knows which endpoints there are.
+ * Holds the registered endpoints.
  *
- * <p>An endpoint that is draining or gone takes no new call from the moment that is read. Around an outage of the store
- * registrations lapse although their endpoints live; those get time to register again.
+ * <p>An endpoint that is draining or removed receives no new calls from the moment at which the change is read. During
+ * an outage of the store registrations expire although their endpoints are healthy; such endpoints are kept until they
+ * have had time to register again.
  *
- * <p>Used on the process's event loop only.
+ * <p>Must be used on the process's event loop only.
  */
 public final class EndpointController {
-    /** After an outage of the store, endpoints that live are registered again within about 2 s. */
-    private static final long RETURN_MILLIS = 2_200;
+    /** Healthy endpoints register again within about 2 s after an outage of the store. */
+    private static final long REREGISTRATION_MILLIS = 2_200;
 
     private final EventSink events;
     private final Clock clock;
     private final DelayedRunner timer;
     private final LogFollower follower;
     private final Map<EndpointId, EndpointRecord> endpoints = new HashMap<>();
-    private final Map<EndpointId, Long> lapsedMillis = new HashMap<>();
+    private final Map<EndpointId, Long> expiredAtMillis = new HashMap<>();
     private Map<String, List<EndpointRecord>> servingByService = Map.of();
     private Runnable onChanged = () -> {};
-    private Consumer<EndpointRecord> onGone = endpoint -> {};
+    private Consumer<EndpointRecord> onUnavailable = endpoint -> {};
 
-    /** Creates a controller that knows no endpoint yet. */
+    /** Creates a controller without endpoints. */
     public EndpointController(
             StoreClient store, FollowerSettings settings, DelayedRunner timer, Clock clock, EventSink events) {
         this.events = events;
@@ -51,7 +52,7 @@
                 store, StoreTopic.ENDPOINTS, settings, timer, clock, events, new LogFollower.Listener() {
                     @Override
                     public void onSnapshot(List<KeyedRecord> records) {
-                        takeSnapshot(records);
+                        applySnapshot(records);
                     }
 
                     @Override
@@ -63,48 +64,48 @@
     }
 
     /**
-     * Starts to follow registrations.
+     * Starts to follow the registrations.
      *
      * @param changed runs after each change
-     * @param gone runs for each endpoint that takes no more calls
+     * @param unavailable runs for each endpoint that no longer accepts calls
      */
-    public void start(Runnable changed, Consumer<EndpointRecord> gone) {
+    public void start(Runnable changed, Consumer<EndpointRecord> unavailable) {
         onChanged = changed;
-        onGone = gone;
+        onUnavailable = unavailable;
         follower.restart();
     }
 
-    /** Reads again at once, because what is believed may be older than it looks. */
+    /** Reads the log again at once, because the registrations may be older than their recorded age. */
     public void refresh() {
         follower.restart();
     }
 
-    /** Stops following. */
+    /** Stops following the log. */
     public void stop() {
         follower.stop();
     }
 
-    /** Returns how long ago the registrations were last read. */
+    /** Returns the time since the registrations were last read. */
     public long ageMillis() {
         return follower.age().millis();
     }
 
-    /** Returns the endpoints of {@code service} that take new calls. */
+    /** Returns the endpoints of {@code service} that accept new calls. */
     public List<EndpointRecord> serving(String service) {
         return servingByService.getOrDefault(service, List.of());
     }
 
-    /** Returns the endpoint named {@code id}, empty where none is registered. */
+    /** Returns the endpoint {@code id}, or empty if it is not registered. */
     public Optional<EndpointRecord> find(EndpointId id) {
         return Optional.ofNullable(endpoints.get(id));
     }
 
-    /** Returns all endpoints that are registered. */
+    /** Returns all registered endpoints. */
     public List<EndpointRecord> all() {
         return List.copyOf(endpoints.values());
     }
 
-    private void takeSnapshot(List<KeyedRecord> records) {
+    private void applySnapshot(List<KeyedRecord> records) {
         Set<EndpointId> listed = new HashSet<>();
         for (KeyedRecord record : records) {
             onRecord(record);
@@ -122,7 +123,7 @@
 
     private void onRecord(KeyedRecord record) {
         if (record.key().isBlank()) {
-            events.emit(new ControlEvent(ControlEventKind.RECORD_REJECTED, "endpoint", "no key", 0));
+            events.emit(new ControlEvent(ControlEventKind.RECORD_REJECTED, "endpoint", "record has no key", 0));
             return;
         }
         EndpointId id = new EndpointId(record.key());
@@ -132,17 +133,17 @@
             return;
         }
         try {
-            EndpointRecord read = EndpointRecordAdapter.decode(record.key(), value);
-            lapsedMillis.remove(id);
-            EndpointRecord before = endpoints.put(id, read);
-            if (before != null && !before.isSameIncarnation(read)) {
-                onGone.accept(before);
+            EndpointRecord decoded = EndpointRecordAdapter.decode(record.key(), value);
+            expiredAtMillis.remove(id);
+            EndpointRecord previous = endpoints.put(id, decoded);
+            if (previous != null && !previous.isSameIncarnation(decoded)) {
+                onUnavailable.accept(previous);
             }
-            if (!read.equals(before)) {
-                noteChange(read);
+            if (!decoded.equals(previous)) {
+                emitChange(decoded);
             }
-            if (read.isDraining() && (before == null || !before.isDraining())) {
-                onGone.accept(read);
+            if (decoded.isDraining() && (previous == null || !previous.isDraining())) {
+                onUnavailable.accept(decoded);
             }
         } catch (RecordRejectedException e) {
             events.emit(new ControlEvent(
@@ -150,13 +151,13 @@
         }
     }
 
-    private void noteChange(EndpointRecord read) {
-        String seat = read.seat() == null ? "" : " " + read.seat();
+    private void emitChange(EndpointRecord decoded) {
+        String seat = decoded.seat() == null ? "" : " " + decoded.seat();
         events.emit(new ControlEvent(
                 ControlEventKind.ENDPOINT_CHANGED,
-                read.id().value(),
-                (read.isDraining() ? "draining" : "ready") + " at " + read.host() + ":" + read.port() + " of "
-                        + read.service() + seat,
+                decoded.id().value(),
+                (decoded.isDraining() ? "draining" : "ready") + " at " + decoded.host() + ":" + decoded.port()
+                        + " for service " + decoded.service() + seat,
                 0));
     }
 
@@ -164,16 +165,16 @@
         if (!endpoints.containsKey(id)) {
             return;
         }
-        boolean mayReturn = follower.isLost() || follower.millisSinceRegained() < RETURN_MILLIS;
-        if (!mayReturn) {
+        boolean mayReregister = follower.isStoreLost() || follower.millisSinceRegained() < REREGISTRATION_MILLIS;
+        if (!mayReregister) {
             remove(id, "gone");
             return;
         }
-        if (lapsedMillis.putIfAbsent(id, clock.monotonicMillis()) == null) {
-            long leftMillis = Math.max(1, RETURN_MILLIS - follower.millisSinceRegained());
-            timer.runAfter(leftMillis, () -> {
-                if (lapsedMillis.containsKey(id)) {
-                    remove(id, "lapsed and did not return");
+        if (expiredAtMillis.putIfAbsent(id, clock.monotonicMillis()) == null) {
+            long delayMillis = Math.max(1, REREGISTRATION_MILLIS - follower.millisSinceRegained());
+            timer.runAfter(delayMillis, () -> {
+                if (expiredAtMillis.containsKey(id)) {
+                    remove(id, "registration expired and was not renewed");
                     publish();
                 }
             });
@@ -181,11 +182,11 @@
     }
 
     private void remove(EndpointId id, String reason) {
-        lapsedMillis.remove(id);
-        @Nullable EndpointRecord before = endpoints.remove(id);
-        if (before != null) {
+        expiredAtMillis.remove(id);
+        @Nullable EndpointRecord previous = endpoints.remove(id);
+        if (previous != null) {
             events.emit(new ControlEvent(ControlEventKind.ENDPOINT_CHANGED, id.value(), reason, 0));
-            onGone.accept(before);
+            onUnavailable.accept(previous);
         }
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/control/FollowerSettings.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/FollowerSettings.java
@@ -3,14 +3,14 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * How a log is followed.
+ * Settings for following a log.
  *
- * @param waitMillis how long a read waits for a record, 0 for reads that answer at once
- * @param pauseMillis the pause between two reads
- * @param timeoutMillis how long an answer may take beyond {@code waitMillis}
+ * @param waitMillis how long a read waits for new records, 0 for reads that return at once
+ * @param pauseMillis the delay between two reads
+ * @param timeoutMillis the time-out of a read, in addition to {@code waitMillis}
  */
 public record FollowerSettings(long waitMillis, long pauseMillis, long timeoutMillis) {
-    /** Creates settings. */
+    /** Creates settings; the time-out must be positive and the others must not be negative. */
     public FollowerSettings {
         Checks.notNegative("waitMillis", waitMillis);
         Checks.notNegative("pauseMillis", pauseMillis);
--- a/gateway/src/main/java/org/jasminehub/gateway/control/InstanceDirectory.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/InstanceDirectory.java
@@ -13,7 +13,7 @@
 import org.jasminehub.platform.hosted.StoreTopic;
 import org.jasminehub.wire.generated.InstanceRecord;
 
-/** Knows the processes of this system that are registered. Used on the process's event loop only. */
+/** Holds the registered entry instances and rank agents. Must be used on the process's event loop only. */
 public final class InstanceDirectory {
     private final InstanceRegistration registration;
     private final EventSink events;
@@ -21,7 +21,7 @@
     private final Map<String, InstanceRecord> instances = new HashMap<>();
     private Runnable onChanged = () -> {};
 
-    /** Creates a directory that knows no process yet. */
+    /** Creates an empty directory. */
     public InstanceDirectory(
             InstanceRegistration registration,
             StoreClient store,
@@ -35,7 +35,7 @@
                 store, StoreTopic.INSTANCES, settings, timer, clock, events, new LogFollower.Listener() {
                     @Override
                     public void onSnapshot(List<KeyedRecord> records) {
-                        takeSnapshot(records);
+                        applySnapshot(records);
                     }
 
                     @Override
@@ -46,33 +46,33 @@
                 });
     }
 
-    /** Registers this process and follows the others; {@code changed} runs after each change. */
+    /** Registers this process and starts to follow the registrations; {@code changed} runs after each change. */
     public void start(Runnable changed) {
         onChanged = changed;
         registration.register();
         follower.restart();
     }
 
-    /** Stops following. */
+    /** Stops following the log. */
     public void stop() {
         follower.stop();
     }
 
-    /** Returns the entry instances that are registered, this one included once it is. */
+    /** Returns the registered entry instances, including this one once its own registration has been read. */
     public List<InstanceRecord> entries() {
         return instances.values().stream()
                 .filter(each -> !each.getIsRankAgent())
                 .toList();
     }
 
-    /** Returns the rank agents that are registered. */
+    /** Returns the registered rank agents. */
     public List<InstanceRecord> rankAgents() {
         return instances.values().stream()
                 .filter(InstanceRecord::getIsRankAgent)
                 .toList();
     }
 
-    private void takeSnapshot(List<KeyedRecord> records) {
+    private void applySnapshot(List<KeyedRecord> records) {
         Set<String> listed = new HashSet<>();
         records.forEach(record -> {
             onRecord(record);
@@ -94,9 +94,9 @@
             return;
         }
         try {
-            InstanceRecord read = InstanceRecord.parseFrom(value);
-            if (!read.equals(instances.put(record.key(), read))) {
-                emit(record.key(), read.getHost() + " in " + read.getFailureDomain());
+            InstanceRecord decoded = InstanceRecord.parseFrom(value);
+            if (!decoded.equals(instances.put(record.key(), decoded))) {
+                emit(record.key(), decoded.getHost() + " in " + decoded.getFailureDomain());
             }
         } catch (InvalidProtocolBufferException e) {
             events.emit(new ControlEvent(
--- a/gateway/src/main/java/org/jasminehub/gateway/control/InstanceRegistration.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/InstanceRegistration.java
@@ -5,9 +5,9 @@
 import org.jasminehub.platform.hosted.StoreTopic;
 import org.jasminehub.wire.generated.InstanceRecord;
 
-/** Keeps one process of this system registered. Used on the process's event loop only. */
+/** Keeps this process registered in the store. Must be used on the process's event loop only. */
 public final class InstanceRegistration {
-    /** A registration is one small append; the store answers those within a few milliseconds when it is well. */
+    /** A registration is one small append, which a healthy store answers within a few milliseconds. */
     private static final long APPEND_TIMEOUT_MILLIS = 1_000;
 
     private static final long APPEND_RETRY_MILLIS = 1_000;
@@ -17,9 +17,9 @@
     private final DelayedRunner timer;
     private final EventSink events;
     private boolean isRegistered;
-    private boolean isLeaving;
+    private boolean isDeregistering;
 
-    /** Creates the registration of {@code self}, which is not made yet. */
+    /** Creates a registration for {@code self} without registering it yet. */
     public InstanceRegistration(InstanceRecord self, StoreClient store, DelayedRunner timer, EventSink events) {
         this.self = self;
         this.store = store;
@@ -27,44 +27,44 @@
         this.events = events;
     }
 
-    /** Returns what is registered. */
+    /** Returns the record that is registered. */
     public InstanceRecord self() {
         return self;
     }
 
-    /** Returns whether the registration was confirmed. */
+    /** Returns whether the store has confirmed the registration. */
     public boolean isRegistered() {
         return isRegistered;
     }
 
-    /** Registers, and tries again until that is confirmed. */
+    /** Registers this process and retries until the store confirms it. */
     public void register() {
-        if (isLeaving) {
+        if (isDeregistering) {
             return;
         }
         store.append(StoreTopic.INSTANCES, self.getInstance(), self.toByteArray(), APPEND_TIMEOUT_MILLIS)
                 .whenComplete((done, failure) -> {
                     isRegistered = failure == null;
                     if (failure != null) {
-                        note("not registered yet", failure);
+                        reportFailure("registration failed, retrying", failure);
                         timer.runAfter(APPEND_RETRY_MILLIS, this::register);
                     }
                 });
     }
 
-    /** Takes the registration back. */
-    public void leave() {
-        isLeaving = true;
+    /** Removes the registration. */
+    public void deregister() {
+        isDeregistering = true;
         store.append(StoreTopic.INSTANCES, self.getInstance(), null, APPEND_TIMEOUT_MILLIS)
                 .whenComplete((done, failure) -> {
                     if (failure != null) {
-                        note("the registration could not be taken back", failure);
+                        reportFailure("could not remove the registration", failure);
                     }
                 });
     }
 
-    private void note(String what, Throwable failure) {
+    private void reportFailure(String message, Throwable failure) {
         events.emit(new ControlEvent(
-                ControlEventKind.STORE_LOST, self.getInstance(), what + ": " + failure.getMessage(), 0));
+                ControlEventKind.STORE_LOST, self.getInstance(), message + ": " + failure.getMessage(), 0));
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
@@ -14,22 +14,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads a keyed log from its newest records on, and starts anew where the log forgot what was not read yet.
+ * Follows a keyed log: reads the newest record of every key, then all later records. Starts again with the newest
+ * records if the log no longer holds the next offset.
  *
- * <p>Used on the process's event loop only.
+ * <p>Must be used on the process's event loop only.
  */
 final class LogFollower {
-    /** The pause after a failed read, doubled up to the longest one, so that an outage costs few calls. */
+    /** First delay after a failed read; doubles up to the maximum, so that an outage causes few calls. */
     private static final long MIN_RETRY_MILLIS = 150;
 
     private static final long MAX_RETRY_MILLIS = 600;
 
-    /** What a log says. */
+    /** Receives the contents of the log. */
     interface Listener {
-        /** Takes the newest record of every key; keys that are not in it have none. */
+        /** Called with the newest record of every key; keys that are missing have no record. */
         void onSnapshot(List<KeyedRecord> records);
 
-        /** Takes records that were added, oldest first. */
+        /** Called with records that were appended, oldest first. */
         void onRecords(List<KeyedRecord> records);
     }
 
@@ -42,12 +43,12 @@
     private final Listener listener;
     private final StateAge age;
     private long nextOffset = -1;
-    private long retryMillis = MIN_RETRY_MILLIS;
-    private boolean isLost;
+    private long retryDelayMillis = MIN_RETRY_MILLIS;
+    private boolean isStoreLost;
     private boolean isStopped;
-    private long lostSinceMillis = Long.MIN_VALUE;
-    private long regainedMillis = Long.MIN_VALUE;
-    private int round;
+    private long lostAtMillis = Long.MIN_VALUE;
+    private long regainedAtMillis = Long.MIN_VALUE;
+    private int generation;
 
     LogFollower(
             StoreClient store,
@@ -67,99 +68,103 @@
         this.age = new StateAge(clock);
     }
 
-    /** Starts to read, or reads at once where the present read may be stale. */
+    /** Starts to read, or abandons the current read and reads again at once. */
     void restart() {
-        round++;
-        read(round);
+        generation++;
+        read(generation);
     }
 
     void stop() {
         isStopped = true;
-        round++;
+        generation++;
     }
 
     StateAge age() {
         return age;
     }
 
-    boolean isLost() {
-        return isLost;
+    boolean isStoreLost() {
+        return isStoreLost;
     }
 
-    /** Returns how long ago the store came back after an outage, {@link Long#MAX_VALUE} where it never went. */
+    /** Returns the time since the store recovered from an outage, or {@link Long#MAX_VALUE} if there was none. */
     long millisSinceRegained() {
-        return regainedMillis == Long.MIN_VALUE ? Long.MAX_VALUE : clock.monotonicMillis() - regainedMillis;
+        return regainedAtMillis == Long.MIN_VALUE ? Long.MAX_VALUE : clock.monotonicMillis() - regainedAtMillis;
     }
 
-    private void read(int current) {
-        if (isStopped || current != round) {
+    private void read(int readGeneration) {
+        if (isStopped || readGeneration != generation) {
             return;
         }
-        StateAge.ClockReading asked = age.now();
+        StateAge.ClockReading requestedAt = age.now();
         boolean isSnapshot = nextOffset < 0;
-        CompletableFuture<LogSlice> reading = isSnapshot
+        CompletableFuture<LogSlice> pendingRead = isSnapshot
                 ? store.readNewest(topic, settings.timeoutMillis())
                 : store.readLog(topic, nextOffset, settings.waitMillis(), settings.timeoutMillis());
-        reading.whenComplete((slice, failure) -> {
-            if (current != round) {
+        pendingRead.whenComplete((slice, failure) -> {
+            if (readGeneration != generation) {
                 return;
             }
             if (failure == null) {
-                onSlice(current, asked, isSnapshot, slice);
+                onSlice(readGeneration, requestedAt, isSnapshot, slice);
             } else {
-                onFailure(current, failure);
+                onFailure(readGeneration, failure);
             }
         });
     }
 
-    private void onSlice(int current, StateAge.ClockReading asked, boolean isSnapshot, LogSlice slice) {
-        if (isLost) {
-            isLost = false;
-            regainedMillis = clock.monotonicMillis();
+    private void onSlice(int readGeneration, StateAge.ClockReading requestedAt, boolean isSnapshot, LogSlice slice) {
+        if (isStoreLost) {
+            isStoreLost = false;
+            regainedAtMillis = clock.monotonicMillis();
             events.emit(new ControlEvent(
                     ControlEventKind.STORE_REGAINED,
                     topic.name(),
-                    "lost for " + (regainedMillis - lostSinceMillis) + " ms",
+                    "unavailable for " + (regainedAtMillis - lostAtMillis) + " ms",
                     0));
         }
-        retryMillis = MIN_RETRY_MILLIS;
+        retryDelayMillis = MIN_RETRY_MILLIS;
         nextOffset = slice.nextOffset();
         if (isSnapshot) {
             listener.onSnapshot(slice.records());
         } else if (!slice.records().isEmpty()) {
             listener.onRecords(slice.records());
         }
-        age.confirm(asOf(asked, isSnapshot, slice));
-        timer.runAfter(settings.pauseMillis(), () -> read(current));
+        age.confirm(confirmedAt(requestedAt, isSnapshot, slice));
+        timer.runAfter(settings.pauseMillis(), () -> read(readGeneration));
     }
 
-    /** A read that waited in vain saw the log as it was at the end of its wait. */
-    private StateAge.ClockReading asOf(StateAge.ClockReading asked, boolean isSnapshot, LogSlice slice) {
-        boolean hasWaited = !isSnapshot
+    /**
+     * Returns the time as of which the slice is current. A read that waited in full without a record saw the log as it
+     * was at the end of the wait.
+     */
+    private StateAge.ClockReading confirmedAt(StateAge.ClockReading requestedAt, boolean isSnapshot, LogSlice slice) {
+        boolean isFullWait = !isSnapshot
                 && slice.records().isEmpty()
-                && clock.monotonicMillis() - asked.monotonicMillis() >= settings.waitMillis();
-        return hasWaited
+                && clock.monotonicMillis() - requestedAt.monotonicMillis() >= settings.waitMillis();
+        return isFullWait
                 ? new StateAge.ClockReading(
-                        asked.monotonicMillis() + settings.waitMillis(), asked.wallMillis() + settings.waitMillis())
-                : asked;
+                        requestedAt.monotonicMillis() + settings.waitMillis(),
+                        requestedAt.wallMillis() + settings.waitMillis())
+                : requestedAt;
     }
 
-    private void onFailure(int current, Throwable thrown) {
+    private void onFailure(int readGeneration, Throwable thrown) {
         Throwable cause =
                 thrown instanceof CompletionException && thrown.getCause() != null ? thrown.getCause() : thrown;
         if (cause instanceof HistoryGoneException) {
             nextOffset = -1;
-            read(current);
+            read(readGeneration);
             return;
         }
-        if (!isLost) {
-            isLost = true;
-            lostSinceMillis = clock.monotonicMillis();
+        if (!isStoreLost) {
+            isStoreLost = true;
+            lostAtMillis = clock.monotonicMillis();
             events.emit(new ControlEvent(ControlEventKind.STORE_LOST, topic.name(), describe(cause), age.millis()));
         }
-        long pauseMillis = retryMillis;
-        retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
-        timer.runAfter(pauseMillis, () -> read(current));
+        long pauseMillis = retryDelayMillis;
+        retryDelayMillis = Math.min(MAX_RETRY_MILLIS, retryDelayMillis * 2);
+        timer.runAfter(pauseMillis, () -> read(readGeneration));
     }
 
     private static String describe(@Nullable Throwable cause) {
--- a/gateway/src/main/java/org/jasminehub/gateway/control/PeerExchange.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/PeerExchange.java
@@ -30,23 +30,26 @@
 import org.jasminehub.wire.generated.PeerStatus;
 
 /**
- * Tells the other entry instances several times a second what this one has in hand, and takes the same from them: open
- * calls by endpoint, the configuration's version and age, and whether they take callers.
+ * Exchanges status messages with the other entry instances several times a second. A status contains the sender's open
+ * calls by endpoint, the version and age of its configuration, and whether it accepts callers.
  *
- * <p>Used on the process's event loop only.
+ * <p>Must be used on the process's event loop only.
  */
 public final class PeerExchange implements PeerListener {
     /** About the time between two calls to the same endpoint at high load. */
     private static final long STATUS_INTERVAL_MILLIS = 80;
 
-    /** A status is sent at least this often, so that peers know this instance alive. */
+    /** Longest time between two status messages, so that peers can tell that this instance is alive. */
     private static final long HEARTBEAT_MILLIS = 240;
 
-    /** Several heartbeats: an instance that is silent for longer is not offered to callers. */
-    private static final long SILENT_MILLIS = 900;
+    /** An instance is no longer listed for callers after this time without a status; equals several heartbeats. */
+    private static final long PEER_TIMEOUT_MILLIS = 900;
 
-    /** For how long an instance that hears nobody goes by what it heard; callers find out by themselves within that. */
-    private static final long CUT_OFF_MILLIS = 4_000;
+    /**
+     * How long an instance that receives no status keeps its last known peers. Callers notice unreachable instances
+     * themselves within this time.
+     */
+    private static final long ISOLATION_TIMEOUT_MILLIS = 4_000;
 
     private final InstanceRegistration registration;
     private final InstanceDirectory directory;
@@ -60,11 +63,11 @@
     private final Clock clock;
     private final EventSink events;
     private final Map<EndpointAddress, PeerLink> links = new HashMap<>();
-    private final Map<String, PeerView> peers = new TreeMap<>();
-    private final TreeMap<Long, StateAge.ClockReading> sentTokens = new TreeMap<>();
-    private final StateAge moments;
-    private Runnable onLoads = () -> {};
-    private Supplier<Optional<Map<EndpointId, Double>>> paces = Optional::empty;
+    private final Map<String, PeerState> peers = new TreeMap<>();
+    private final TreeMap<Long, StateAge.ClockReading> sentAtByToken = new TreeMap<>();
+    private final StateAge clockReadings;
+    private Runnable onLoadsChanged = () -> {};
+    private Supplier<Optional<Map<EndpointId, Double>>> slowdownSource = Optional::empty;
     private PeerStatus lastSent = PeerStatus.getDefaultInstance();
     private long lastSentMillis;
     private long nextToken = 1;
@@ -93,22 +96,22 @@
         this.timer = timer;
         this.clock = clock;
         this.events = events;
-        this.moments = new StateAge(clock);
+        this.clockReadings = new StateAge(clock);
     }
 
-    /** Tells the peers from now on which endpoints {@code slow} names, if this instance is the one that knows. */
-    public void tellPaces(Supplier<Optional<Map<EndpointId, Double>>> slow) {
-        paces = slow;
+    /** Sets the source of the endpoint slowdowns that are sent to peers; empty while another instance measures them. */
+    public void setSlowdownSource(Supplier<Optional<Map<EndpointId, Double>>> source) {
+        slowdownSource = source;
     }
 
-    /** Starts to exchange; {@code newLoads} runs when peers say what they have in hand. */
-    public void start(Runnable newLoads) {
-        onLoads = newLoads;
+    /** Starts the exchange; {@code loadsChanged} runs after each status received from a peer. */
+    public void start(Runnable loadsChanged) {
+        onLoadsChanged = loadsChanged;
         onDirectoryChanged();
         tick();
     }
 
-    /** Connects to the instances that are registered, and to seeds while none is. */
+    /** Connects to the registered instances, or to the seeds while none is registered. */
     public void onDirectoryChanged() {
         Set<EndpointAddress> wanted = new HashSet<>();
         for (InstanceRecord entry : directory.entries()) {
@@ -132,19 +135,20 @@
     }
 
     /**
-     * Returns the entry instances that callers can be sent to, this one included if it takes callers. Instances that are
-     * only registered are not among them, since they may have been off for long.
+     * Returns the entry instances to list for callers, including this one if it accepts callers. An instance that is
+     * only registered is left out, because it may have been down for a long time.
      */
     public List<InstanceRecord> acceptingInstances() {
-        List<InstanceRecord> heard = acceptingSince(clock.monotonicMillis() - SILENT_MILLIS);
-        // Without a word from anyone it may be this instance that is cut off, so what was heard before holds a while.
-        return heard.isEmpty() ? acceptingSince(clock.monotonicMillis() - CUT_OFF_MILLIS) : heard;
+        List<InstanceRecord> recent = acceptingSince(clock.monotonicMillis() - PEER_TIMEOUT_MILLIS);
+        // If no peer was seen recently, this instance may be the isolated one, so the last known peers are kept for a
+        // while.
+        return recent.isEmpty() ? acceptingSince(clock.monotonicMillis() - ISOLATION_TIMEOUT_MILLIS) : recent;
     }
 
     private List<InstanceRecord> acceptingSince(long fromMillis) {
         Map<String, InstanceRecord> accepting = new TreeMap<>();
-        for (PeerView peer : peers.values()) {
-            if (peer.heardMillis() >= fromMillis && peer.acceptsCallers()) {
+        for (PeerState peer : peers.values()) {
+            if (peer.lastSeenMillis() >= fromMillis && peer.acceptsCallers()) {
                 accepting.put(peer.instance().getInstance(), peer.instance());
             }
         }
@@ -156,15 +160,15 @@
         return new ArrayList<>(accepting.values());
     }
 
-    /** Returns whether no live instance that takes callers has a name before this one's. */
-    public boolean isFirst() {
+    /** Returns whether this instance has the lowest name among the live instances that accept callers. */
+    public boolean isFirstByName() {
         String own = registration.self().getInstance();
         return acceptsCallers.getAsBoolean()
                 && acceptingInstances().stream()
                         .noneMatch(each -> each.getInstance().compareTo(own) < 0);
     }
 
-    /** Returns how many entry instances may be alive at most, this one included. */
+    /** Returns an upper bound for the number of live entry instances, including this one. */
     public int maxInstances() {
         Set<String> names = new HashSet<>(peers.keySet());
         names.add(registration.self().getInstance());
@@ -172,7 +176,7 @@
         return names.size();
     }
 
-    /** Sends a status at once, because something changed that others must know. */
+    /** Sends a status at once, because peers must learn of a change without delay. */
     public void announce() {
         broadcast(status());
     }
@@ -193,9 +197,9 @@
     private void broadcast(PeerStatus status) {
         lastSent = status;
         lastSentMillis = clock.monotonicMillis();
-        sentTokens.put(status.getToken(), moments.now());
-        while (sentTokens.size() > SILENT_MILLIS / STATUS_INTERVAL_MILLIS) {
-            sentTokens.pollFirstEntry();
+        sentAtByToken.put(status.getToken(), clockReadings.now());
+        while (sentAtByToken.size() > PEER_TIMEOUT_MILLIS / STATUS_INTERVAL_MILLIS) {
+            sentAtByToken.pollFirstEntry();
         }
         PeerEnvelope message = PeerEnvelope.newBuilder().setPeerStatus(status).build();
         links.values().forEach(link -> link.send(message));
@@ -212,10 +216,10 @@
                 .forEach((endpoint, calls) -> status.addCalls(EndpointCalls.newBuilder()
                         .setEndpointHash(endpoint.value().hashCode())
                         .setCalls(calls)));
-        paces.get().ifPresent(slow -> {
-            loads.onSlowdowns(slow);
+        slowdownSource.get().ifPresent(slowdownByEndpoint -> {
+            loads.onSlowdowns(slowdownByEndpoint);
             status.setHasPaces(true);
-            new TreeMap<>(slow)
+            new TreeMap<>(slowdownByEndpoint)
                     .forEach((endpoint, pace) -> status.addPaces(EndpointPace.newBuilder()
                             .setEndpointHash(endpoint.value().hashCode())
                             .setPace(pace)));
@@ -229,7 +233,7 @@
 
     @Override
     public void onConnected(PeerConnection connection) {
-        // The next status says who this is.
+        // The peer identifies itself with its first status.
     }
 
     @Override
@@ -252,13 +256,13 @@
                         .setConfigurationAgeMillis(configuration.ageMillis()))
                 .build());
         String name = status.getInstance().getInstance();
-        PeerView before = peers.put(
-                name, new PeerView(status.getInstance(), status.getAcceptsCallers(), clock.monotonicMillis()));
-        if (before == null || before.acceptsCallers() != status.getAcceptsCallers()) {
+        PeerState previous = peers.put(
+                name, new PeerState(status.getInstance(), status.getAcceptsCallers(), clock.monotonicMillis()));
+        if (previous == null || previous.acceptsCallers() != status.getAcceptsCallers()) {
             events.emit(new ControlEvent(
                     ControlEventKind.INSTANCE_CHANGED,
                     name,
-                    status.getAcceptsCallers() ? "takes callers" : "takes no callers",
+                    status.getAcceptsCallers() ? "accepts callers" : "does not accept callers",
                     0));
         }
         byte[] bytes = configuration.bytesInForce();
@@ -267,16 +271,16 @@
                     .setConfigurationCopy(ConfigurationCopy.newBuilder().setConfiguration(ByteString.copyFrom(bytes)))
                     .build());
         }
-        takeLoads(name, status);
+        applyLoads(name, status);
     }
 
-    private void takeLoads(String name, PeerStatus status) {
+    private void applyLoads(String name, PeerStatus status) {
         Map<Integer, Integer> callsByHash = new HashMap<>();
         status.getCallsList().forEach(calls -> callsByHash.put(calls.getEndpointHash(), calls.getCalls()));
         Map<Integer, Double> pacesByHash = new HashMap<>();
         status.getPacesList().forEach(pace -> pacesByHash.put(pace.getEndpointHash(), pace.getPace()));
         Map<EndpointId, Integer> calls = new HashMap<>();
-        Map<EndpointId, Double> slow = new HashMap<>();
+        Map<EndpointId, Double> slowdownByEndpoint = new HashMap<>();
         endpoints.all().forEach(endpoint -> {
             int hash = endpoint.id().value().hashCode();
             Integer count = callsByHash.get(hash);
@@ -285,26 +289,26 @@
             }
             Double pace = pacesByHash.get(hash);
             if (pace != null) {
-                slow.put(endpoint.id(), pace);
+                slowdownByEndpoint.put(endpoint.id(), pace);
             }
         });
         loads.onPeerLoads(name, calls);
         if (status.getHasPaces()) {
-            loads.onSlowdowns(slow);
+            loads.onSlowdowns(slowdownByEndpoint);
         }
-        onLoads.run();
+        onLoadsChanged.run();
     }
 
-    /** An echo is at most as old as the status that it answers, whatever happened to it on the way. */
+    /** The peer sent the echo after the status, so its confirmation is no older than the time the status was sent. */
     private void onEcho(PeerEcho echo) {
-        StateAge.ClockReading asked = sentTokens.get(echo.getToken());
-        if (asked != null && echo.getConfigurationVersion() == version() && version() > 0) {
-            configuration.onPeerKnows(asked, echo.getConfigurationAgeMillis());
+        StateAge.ClockReading requestedAt = sentAtByToken.get(echo.getToken());
+        if (requestedAt != null && echo.getConfigurationVersion() == version() && version() > 0) {
+            configuration.onPeerConfirmation(requestedAt, echo.getConfigurationAgeMillis());
         }
     }
 
     @Override
     public void onClosed(PeerConnection connection) {
-        // What the peer said last runs out by itself.
+        // The peer's last status expires by time.
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/package-info.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/package-info.java
@@ -1,4 +1,4 @@
-/** What an instance believes of the platform and how it keeps that up to date. */
+/** The state of the platform as known to an instance, and the components that keep it up to date. */
 @NullMarked
 package org.jasminehub.gateway.control;
 
--- a/gateway/src/test/java/org/jasminehub/gateway/CallersTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/CallersTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Callers that leave, keys that are taken away and clocks that stand still, at a real entry instance. */
+/** Tests how an entry instance handles caller disconnects, revoked keys and outdated configurations. */
 final class CallersTest extends GatewayFixture {
-    /** Callers that leave, keys that are taken away, clocks that stand still. */
+    /** Caller disconnects, revoked keys and outdated configurations. */
     @Nested
     final class Callers {
         @Test
-        void testTheEndpointSeesItsConnectionCloseWhenTheCallerLeaves() throws Exception {
-            serveOne();
+        void testTheEndpointConnectionIsClosedWhenTheCallerDisconnects() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> true);
             try (Socket socket = gateway.connect()) {
                 socket.getOutputStream().write(unsafe("r-1").getBytes(StandardCharsets.UTF_8));
-                take(one);
+                takeRequest(endpointOne);
             }
 
-            assertNotNull(one.closes().poll(GatewayHarness.PATIENCE.toSeconds(), TimeUnit.SECONDS));
+            assertNotNull(endpointOne.closes().poll(GatewayHarness.TIMEOUT.toSeconds(), TimeUnit.SECONDS));
         }
 
         @Test
-        void testAKeyThatWasTakenAwayIsUnknown() throws Exception {
-            serveOne();
+        void testARevokedKeyIsRefused() throws Exception {
+            serveWithOneEndpoint();
             script.add(ScriptedEndpoint.ok("x"));
             assertTrue(gateway.exchange(safe("r-1")).startsWith("HTTP/1.1 200"));
             gateway.configure(2, "key-2");
@@ -38,8 +38,8 @@
         }
 
         @Test
-        void testAnOlderConfigurationNeverComesBack() throws Exception {
-            serveOne();
+        void testRecordsThatAreNoValidConfigurationAreIgnored() throws Exception {
+            serveWithOneEndpoint();
             gateway.configure(5, "key-2");
             gateway.store().put("keyed.op", "config", "{}");
             gateway.store().put("keyed.op", "other", "x");
@@ -50,14 +50,14 @@
         }
 
         @Test
-        void testNoKeyIsHonouredOnKnowledgeOlderThanTheRevocationBound() throws Exception {
-            serveOne();
+        void testKeysAreRefusedWhenTheConfigurationIsOlderThanTheRevocationBound() throws Exception {
+            serveWithOneEndpoint();
             gateway.store().setDown(true);
-            // Only the wall clock sees the time in which a machine is suspended.
+            // While a machine is suspended only the wall clock advances.
             gateway.clock().shiftWallMillis(6_000);
 
             assertTrue(gateway.exchange(safe("r-1")).startsWith("HTTP/1.1 503"));
-            assertNull(one.requests().poll());
+            assertNull(endpointOne.requests().poll());
 
             gateway.store().setDown(false);
             GatewayHarness.await(() -> gateway.entry().ageMillis() < 3_000);
--- a/gateway/src/test/java/org/jasminehub/gateway/CallsTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/CallsTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Calls through a real entry instance, with endpoints that fail in every way that the platform's may. */
+/** Tests calls through a real entry instance, with endpoints that fail in the ways known from the platform. */
 final class CallsTest extends GatewayFixture {
-    /** What reaches an endpoint and what comes back. */
+    /** Forwarding of requests and responses. */
     @Nested
     final class Forwarding {
         @Test
-        void testARequestReachesTheEndpointWithItsWorkspaceAndWithoutItsKey() throws Exception {
-            serveOne();
+        void testARequestIsForwardedWithItsWorkspaceAndWithoutItsKey() throws Exception {
+            serveWithOneEndpoint();
             script.add(ScriptedEndpoint.ok("hello"));
 
             String answer = gateway.exchange(unsafe("r-1"));
 
-            ScriptedEndpoint.Request request = take(one);
+            ScriptedEndpoint.Request request = takeRequest(endpointOne);
             assertTrue(request.head().startsWith("POST /unsafe/x HTTP/1.1\r\n"));
             assertEquals("pay", request.body());
             assertEquals("r-1", request.header("x-attempt-id"));
@@ -39,13 +39,13 @@
         }
 
         @Test
-        void testWithoutAConfigurationCallsAreNotReadyRatherThanUnknown() throws Exception {
+        void testCallsAreRefusedWith503BeforeTheFirstConfiguration() throws Exception {
             assertTrue(gateway.exchange(safe("r-1")).startsWith("HTTP/1.1 503"));
         }
 
         @Test
         void testUnknownKeysAndRoutesAreRefused() throws Exception {
-            serveOne();
+            serveWithOneEndpoint();
 
             assertTrue(gateway.exchange(GatewayHarness.request("GET", "/safe/x", "r-1", "other", ""))
                     .startsWith("HTTP/1.1 401"));
@@ -55,23 +55,23 @@
         }
 
         @Test
-        void testADrainingEndpointTakesNoNewCall() throws Exception {
-            serveBoth();
-            gateway.register("e-1", one.port(), "draining");
+        void testADrainingEndpointReceivesNoNewCalls() throws Exception {
+            serveWithBothEndpoints();
+            gateway.register("e-1", endpointOne.port(), "draining");
             for (int call = 0; call < 6; call++) {
                 script.add(ScriptedEndpoint.ok("x"));
                 assertTrue(gateway.exchange(safe("r-" + call)).startsWith("HTTP/1.1 200"));
             }
-            assertEquals(0, one.requests().size());
+            assertEquals(0, endpointOne.requests().size());
         }
     }
 
-    /** Requests that two programs could read in two ways. */
+    /** Requests whose framing two programs could interpret differently. */
     @Nested
     final class Framing {
         @Test
-        void testARequestWithLengthAndChunksIsRefused() throws Exception {
-            serveOne();
+        void testARequestWithContentLengthAndChunkedEncodingIsRefused() throws Exception {
+            serveWithOneEndpoint();
             String head =
                     "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a\r\nAuthorization: Bearer " + KEY;
 
@@ -83,8 +83,8 @@
         }
 
         @Test
-        void testTwoLengthsAreRefused() throws Exception {
-            serveOne();
+        void testDuplicateContentLengthIsRefused() throws Exception {
+            serveWithOneEndpoint();
 
             String answer = gateway.exchange(unsafe("a").replace("Host:", "Content-Length: 4\r\nHost:"));
 
@@ -94,7 +94,7 @@
 
         @Test
         void testABodyOverTheLimitIsRefusedAndNotForwarded() throws Exception {
-            serveOne();
+            serveWithOneEndpoint();
 
             String answer = gateway.exchange(GatewayHarness.request("POST", "/unsafe/x", "a", KEY, "x".repeat(10_001)));
 
@@ -103,12 +103,12 @@
         }
     }
 
-    /** Endpoints that cut, refuse or mix up answers. */
+    /** Endpoints that reset connections, refuse calls or send wrong responses. */
     @Nested
     final class Failures {
         @Test
-        void testASafeCallThatIsCutIsServedElsewhere() throws Exception {
-            serveBoth();
+        void testASafeCallIsRetriedElsewhereAfterAReset() throws Exception {
+            serveWithBothEndpoints();
             script.add(ScriptedEndpoint.reset());
             script.add(ScriptedEndpoint.ok("good"));
 
@@ -117,8 +117,8 @@
         }
 
         @Test
-        void testACallWithEffectsThatIsCutRunsOnceAndItsOutcomeIsUnknown() throws Exception {
-            serveBoth();
+        void testAnUnsafeCallIsNotRetriedAfterAReset() throws Exception {
+            serveWithBothEndpoints();
             script.add(ScriptedEndpoint.reset());
 
             assertTrue(gateway.exchange(unsafe("r-1")).startsWith("HTTP/1.1 502"));
@@ -126,8 +126,8 @@
         }
 
         @Test
-        void testACallThatAnEndpointDidNotRunIsSentToAnother() throws Exception {
-            serveBoth();
+        void testAMisdirectedUnsafeCallIsRetriedElsewhere() throws Exception {
+            serveWithBothEndpoints();
             ScriptedEndpoint.Reply refusal = (request, socket) -> {
                 ScriptedEndpoint.write(
                         socket, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: e-9\r\nContent-Length: 0\r\n\r\n");
@@ -141,8 +141,8 @@
         }
 
         @Test
-        void testAnAnswerToAnotherRequestIsNeverDelivered() throws Exception {
-            serveOne();
+        void testAResponseToAnotherRequestIsNotDelivered() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> {
                 ScriptedEndpoint.write(
                         socket,
@@ -158,12 +158,12 @@
         }
 
         @Test
-        void testBytesBehindAnAnswerDoNotReachTheNextCall() throws Exception {
-            serveOne();
+        void testSurplusBytesAfterAResponseDoNotReachTheNextCall() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> {
-                String complete = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header("x-attempt-id")
+                String response = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header("x-attempt-id")
                         + "\r\nX-Response-Signature: s\r\nContent-Length: 4\r\n\r\ngood";
-                ScriptedEndpoint.write(socket, complete + complete.replace("good", "evil"));
+                ScriptedEndpoint.write(socket, response + response.replace("good", "evil"));
                 return true;
             });
             script.add(ScriptedEndpoint.ok("next"));
@@ -174,20 +174,20 @@
         }
 
         @Test
-        void testAnAnswerWithoutALengthThatIsResetIsNotWhole() throws Exception {
-            serveOne();
-            ScriptedEndpoint.Reply cut = (request, socket) -> {
+        void testAResponseWithoutContentLengthIsIncompleteAfterAReset() throws Exception {
+            serveWithOneEndpoint();
+            ScriptedEndpoint.Reply reset = (request, socket) -> {
                 ScriptedEndpoint.write(
                         socket,
                         "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header("x-attempt-id")
                                 + "\r\nX-Response-Signature: s\r\n\r\nhalf");
-                // The peer must have read the half before the reset overtakes it.
+                // The entry instance must have read the partial body before the reset discards it.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
                 socket.setSoLinger(true, 0);
                 return false;
             };
-            script.add(cut);
-            script.add(cut);
+            script.add(reset);
+            script.add(reset);
 
             String answer = gateway.exchange(safe("r-1"));
 
@@ -195,8 +195,8 @@
         }
 
         @Test
-        void testAnAnswerWithoutALengthThatEndsIsWhole() throws Exception {
-            serveOne();
+        void testAResponseWithoutContentLengthIsCompleteAfterARegularClose() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> {
                 ScriptedEndpoint.write(
                         socket,
@@ -209,8 +209,8 @@
         }
 
         @Test
-        void testASafeCallToASilentEndpointIsServedElsewhere() throws Exception {
-            serveBoth();
+        void testASafeCallIsRetriedElsewhereAfterATimeout() throws Exception {
+            serveWithBothEndpoints();
             ScriptedEndpoint.Reply silent = (request, socket) -> true;
             script.add(silent);
             script.add(ScriptedEndpoint.ok("late but good"));
@@ -219,11 +219,11 @@
         }
 
         @Test
-        void testTheLastAttemptGetsAllTheTimeThatIsLeft() throws Exception {
-            serveBoth();
+        void testTheLastAttemptGetsAllRemainingTime() throws Exception {
+            serveWithBothEndpoints();
             script.add((request, socket) -> true);
             script.add((request, socket) -> {
-                // Longer than a first attempt may be silent, and well within the route's time.
+                // Longer than the time-out of a first attempt, and well within the time-out of the route.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1_000));
                 return ScriptedEndpoint.ok("slow but good").answer(request, socket);
             });
@@ -233,8 +233,8 @@
         }
 
         @Test
-        void testAFailureWithoutProofIsNotPassedOnAsARefusal() throws Exception {
-            serveOne();
+        void testA503WithoutANotExecutedHeaderBecomesA502() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> {
                 ScriptedEndpoint.write(
                         socket,
@@ -247,15 +247,15 @@
         }
     }
 
-    /** More calls than endpoints have places for. */
+    /** More calls than the endpoints have capacity for. */
     @Nested
     final class Overload {
-        /** Four slots and three calls for each, as the harness registers a plain endpoint. */
+        /** Four slots, as registered by the harness, with three calls per slot of a plain endpoint. */
         private static final int PLACES = 12;
 
         @Test
-        void testACallThatFindsNoPlaceIsRefusedUnsentWithATimeToComeBack() throws Exception {
-            serveOne();
+        void testACallWithoutCapacityIsNotSentAndIsRefusedWithRetryAfter() throws Exception {
+            serveWithOneEndpoint();
             List<Socket> open = new ArrayList<>();
             for (int call = 0; call < PLACES; call++) {
                 script.add((request, socket) -> true);
--- a/gateway/src/test/java/org/jasminehub/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/GatewayFixture.java
@@ -9,39 +9,39 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A gateway before two endpoints, started anew for each test. */
+/** Starts a new entry instance with two scripted endpoints for each test. */
 abstract class GatewayFixture {
     static final String KEY = "key-1";
 
     GatewayHarness gateway;
-    /** The replies of both endpoints, in the order in which requests reach either. */
+    /** The replies of both endpoints, in the order in which requests arrive at either of them. */
     final Queue<ScriptedEndpoint.Reply> script = new ConcurrentLinkedQueue<>();
 
-    ScriptedEndpoint one;
-    ScriptedEndpoint two;
+    ScriptedEndpoint endpointOne;
+    ScriptedEndpoint endpointTwo;
 
     @BeforeEach
     void start() throws IOException {
         gateway = new GatewayHarness();
-        one = new ScriptedEndpoint(script);
-        two = new ScriptedEndpoint(script);
+        endpointOne = new ScriptedEndpoint(script);
+        endpointTwo = new ScriptedEndpoint(script);
     }
 
     @AfterEach
     void stop() throws IOException {
         gateway.close();
-        one.close();
-        two.close();
+        endpointOne.close();
+        endpointTwo.close();
     }
 
-    void serveOne() {
+    void serveWithOneEndpoint() {
         gateway.configure(1, KEY);
-        gateway.register("e-1", one.port(), "ready");
+        gateway.register("e-1", endpointOne.port(), "ready");
     }
 
-    void serveBoth() {
-        serveOne();
-        gateway.register("e-2", two.port(), "ready");
+    void serveWithBothEndpoints() {
+        serveWithOneEndpoint();
+        gateway.register("e-2", endpointTwo.port(), "ready");
     }
 
     static String safe(String id) {
@@ -60,14 +60,14 @@
         return GatewayHarness.request("POST", "/stream/x", id, KEY, "{}");
     }
 
-    ScriptedEndpoint.Request take(ScriptedEndpoint endpoint) throws InterruptedException {
+    ScriptedEndpoint.Request takeRequest(ScriptedEndpoint endpoint) throws InterruptedException {
         ScriptedEndpoint.Request request =
-                endpoint.requests().poll(GatewayHarness.PATIENCE.toSeconds(), TimeUnit.SECONDS);
-        assertNotNull(request, "no request came");
+                endpoint.requests().poll(GatewayHarness.TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+        assertNotNull(request, "no request received");
         return request;
     }
 
     int requests() {
-        return one.requests().size() + two.requests().size();
+        return endpointOne.requests().size() + endpointTwo.requests().size();
     }
 }
--- a/gateway/src/test/java/org/jasminehub/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/GatewayHarness.java
@@ -22,17 +22,17 @@
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.runtime.time.SystemClock;
 
-/** A real entry instance on loopback, before a store and endpoints in memory. */
+/** A real entry instance on loopback, with an in-memory store. */
 final class GatewayHarness implements AutoCloseable {
-    /** Far above what any step takes; a test that needs it has failed. */
-    static final Duration PATIENCE = Duration.ofSeconds(20);
+    /** Far longer than any step takes, so a test that reaches it has failed. */
+    static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-    /** Short, since no caller is left when a test ends. */
+    /** Short, because no caller is left when a test ends. */
     private static final double GRACE_SECONDS = 0.45;
 
     /**
-     * A call on the safe route that gets no answer goes on elsewhere only after 6.5 s, so that a busy machine does not turn
-     * one send into two; the hasty route is for tests of that.
+     * The time-out for a first attempt is 6.5 s on the safe route, so that a slow machine does not cause a second
+     * attempt. The hasty route is for tests of that time-out.
      */
     private static final String CONFIGURATION = """
             {"version":%d,"routes":[
@@ -50,7 +50,7 @@
             "limits":{"header_bytes":4096,"body_bytes":10000,"header_timeout_ms":5000,"idle_timeout_ms":15000}}
             """;
 
-    /** The machine's clock, whose wall time a test may move. */
+    /** The system clock, with a wall time that tests can shift. */
     static final class ShiftableClock implements Clock {
         private final Clock machine = new SystemClock();
         private final AtomicLong wallShiftMillis = new AtomicLong();
@@ -71,7 +71,7 @@
     }
 
     private final EventLoop storeLoop;
-    private final StoreStandin store;
+    private final InMemoryStore store;
     private final ShiftableClock clock = new ShiftableClock();
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final EntryProgram entry;
@@ -80,15 +80,15 @@
         storeLoop = new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("store", true), NioIoHandler.newFactory())
                 .next();
-        store = new StoreStandin(storeLoop);
-        String any = "127.0.0.1:0";
+        store = new InMemoryStore(storeLoop);
+        String anyPort = "127.0.0.1:0";
         GatewaySettings settings = new GatewaySettings(
                 "entry-1",
                 "a",
-                any,
-                any,
-                any,
-                any,
+                anyPort,
+                anyPort,
+                anyPort,
+                anyPort,
                 0,
                 1,
                 List.of(),
@@ -103,7 +103,7 @@
         entry.start();
     }
 
-    StoreStandin store() {
+    InMemoryStore store() {
         return store;
     }
 
@@ -115,13 +115,13 @@
         return entry;
     }
 
-    /** Publishes a configuration whose only key is {@code key}, and waits until it is in force. */
+    /** Publishes a configuration with {@code key} as its only key and waits until it is in force. */
     void configure(long version, String key) {
         store.put("keyed.op", "config", CONFIGURATION.formatted(version, key));
         await(() -> entry.inForce().map(table -> table.version()).orElse(0L) >= version);
     }
 
-    /** Registers an endpoint and waits until it takes calls. */
+    /** Registers an endpoint and waits until the entry instance knows it in that state. */
     void register(String id, int port, String state) {
         store.put(
                 "keyed.servers",
@@ -131,12 +131,12 @@
         await(() -> entry.knowsEndpoint(id, state.equals("draining")));
     }
 
-    /** Waits for a condition that another thread brings about. */
+    /** Waits until a condition holds that another thread brings about. */
     static void await(BooleanSupplier condition) {
-        long endNanos = System.nanoTime() + PATIENCE.toNanos();
+        long endNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > endNanos) {
-                throw new AssertionError("waited in vain");
+                throw new AssertionError("condition not met within the time-out");
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
@@ -144,7 +144,7 @@
 
     Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), entry.callerPort());
-        socket.setSoTimeout((int) PATIENCE.toMillis());
+        socket.setSoTimeout((int) TIMEOUT.toMillis());
         return socket;
     }
 
@@ -154,7 +154,7 @@
                 + (body.isEmpty() ? "" : "\r\nContent-Length: " + body.length()) + "\r\n\r\n" + body;
     }
 
-    /** Sends one request on a connection of its own and returns all that comes back until the connection ends. */
+    /** Sends one request on a new connection and returns everything received until the connection is closed. */
     String exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             String closing = request.replaceFirst("\r\n", "\r\nConnection: close\r\n");
--- a/gateway/src/test/java/org/jasminehub/gateway/StoreStandin.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/InMemoryStore.java
@@ -21,16 +21,16 @@
 import org.jasminehub.gateway.net.CallerServer;
 import org.jasminehub.gateway.net.EndpointAddress;
 
-/** The platform's store in memory: keyed logs, served over HTTP on loopback. */
-final class StoreStandin {
+/** An in-memory implementation of the platform's store: keyed logs, served over HTTP on loopback. */
+final class InMemoryStore {
     private record Entry(String key, byte[] value) {}
 
     private final EventLoop loop;
     private final CallerServer server;
-    private final Map<String, List<Entry>> topics = new LinkedHashMap<>();
+    private final Map<String, List<Entry>> logsByTopic = new LinkedHashMap<>();
     private boolean isDown;
 
-    StoreStandin(EventLoop loop) {
+    InMemoryStore(EventLoop loop) {
         this.loop = loop;
         this.server = CallerServer.start(
                 loop,
@@ -45,11 +45,12 @@
     }
 
     synchronized void put(String topic, String key, String value) {
-        topics.computeIfAbsent(topic, name -> new ArrayList<>())
+        logsByTopic
+                .computeIfAbsent(topic, name -> new ArrayList<>())
                 .add(new Entry(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** From now on every call is refused, or none. */
+    /** Sets whether the store refuses all calls. */
     synchronized void setDown(boolean down) {
         isDown = down;
     }
@@ -65,7 +66,7 @@
         }
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         String topic = query.parameters().get("topic").get(0);
-        List<Entry> log = topics.computeIfAbsent(topic, name -> new ArrayList<>());
+        List<Entry> log = logsByTopic.computeIfAbsent(topic, name -> new ArrayList<>());
         if (query.path().equals("/log-newest")) {
             respond(answer, HttpResponseStatus.OK, newest(log));
         } else if (HttpMethod.POST.equals(request.method())) {
--- a/gateway/src/test/java/org/jasminehub/gateway/PeersTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/PeersTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Two entry instances that share a store and tell each other what they know. */
+/** Tests two entry instances that share a store and exchange status messages. */
 final class PeersTest {
     private static final String CONFIGURATION = """
             {"version":%d,"routes":[{"name":"r","host":"h.example","path_prefix":"/a/","kind":"safe","timeout_ms":1000,
@@ -27,25 +27,40 @@
 
     private final List<EntryProgram> entries = new ArrayList<>();
     private EventLoop storeLoop;
-    private StoreStandin store;
+    private InMemoryStore store;
 
     @BeforeEach
     void start() throws IOException {
         storeLoop = new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("store", true), NioIoHandler.newFactory())
                 .next();
-        store = new StoreStandin(storeLoop);
+        store = new InMemoryStore(storeLoop);
         store.put("keyed.op", "config", CONFIGURATION.formatted(1));
         startEntry("entry-1");
         startEntry("entry-2");
     }
 
     private void startEntry(String name) throws IOException {
-        String any = "127.0.0.1:0";
+        String anyPort = "127.0.0.1:0";
         String peers = "127.0.0.1:" + freePort();
         EntryProgram entry = new EntryProgram(
                 new GatewaySettings(
-                        name, "a", any, any, any, peers, 0, 1, List.of(), store.address(), 5_000, 0.45, 5, 0.2, 60, 10),
+                        name,
+                        "a",
+                        anyPort,
+                        anyPort,
+                        anyPort,
+                        peers,
+                        0,
+                        1,
+                        List.of(),
+                        store.address(),
+                        5_000,
+                        0.45,
+                        5,
+                        0.2,
+                        60,
+                        10),
                 new SystemClock(),
                 event -> {},
                 new MetricRegistry());
@@ -53,7 +68,7 @@
         entries.add(entry);
     }
 
-    /** Peers find each other by the port that is registered, so it must be known before the start. */
+    /** Peers connect to the registered port, so it must be known before the start. */
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             return socket.getLocalPort();
@@ -72,13 +87,13 @@
     }
 
     @Test
-    void testEachInstanceOffersBothToCallers() {
+    void testEachInstanceListsBothForCallers() {
         await(0, List.of("entry-1", "entry-2"));
         await(1, List.of("entry-1", "entry-2"));
     }
 
     @Test
-    void testAnInstanceThatStopsIsNotOfferedAnyMore() {
+    void testAStoppedInstanceIsNoLongerListed() {
         await(1, List.of("entry-1", "entry-2"));
         entries.get(0).stop();
 
@@ -86,7 +101,7 @@
     }
 
     @Test
-    void testAnInstanceThatIsOnlyRegisteredIsNotOffered() {
+    void testARegisteredInstanceThatSendsNoStatusIsNotListed() {
         store.put("keyed.jasminehub-instances", "entry-9", "\n\u0007entry-9\u0012\t127.0.0.9\u0018\u0001\u0020\u0001");
 
         await(0, List.of("entry-1", "entry-2"));
@@ -94,7 +109,7 @@
     }
 
     @Test
-    void testKnowledgeOfTheConfigurationStaysYoungThroughAPeerThatReachesTheStore() {
+    void testPeersKeepTheConfigurationAgeLow() {
         await(0, List.of("entry-1", "entry-2"));
         GatewayHarness.await(() -> entries.get(0).ageMillis() < 300);
     }
--- a/gateway/src/test/java/org/jasminehub/gateway/ScriptedEndpoint.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/ScriptedEndpoint.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** An endpoint that answers each request by the next line of its script, over real sockets. */
+/** An endpoint that answers each request with the next reply of its script, over real sockets. */
 final class ScriptedEndpoint implements AutoCloseable {
-    /** What to do with one request on an open connection. */
+    /** The reply to one request on an open connection. */
     @FunctionalInterface
     interface Reply {
-        /** Writes an answer, or does not; returns whether the connection stays open. */
+        /** Writes a response or nothing; returns whether the connection stays open. */
         boolean answer(Request request, Socket socket) throws IOException;
     }
 
-    /** A request as it came: its head in lower case for look-ups, and its body. */
+    /** A received request. */
     record Request(String head, String body) {
         String header(String name) {
             for (String line : head.split("\r\n")) {
@@ -39,7 +39,7 @@
     private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
     private final BlockingQueue<Boolean> closes = new LinkedBlockingQueue<>();
 
-    /** Starts an endpoint that takes its replies from {@code script}, which others may share. */
+    /** Starts an endpoint that takes its replies from {@code script}, which may be shared with other endpoints. */
     ScriptedEndpoint(Queue<Reply> script) throws IOException {
         this.script = script;
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -52,12 +52,12 @@
         return listener.getLocalPort();
     }
 
-    /** The requests that came, in order. */
+    /** Returns the queue of received requests, in order of arrival. */
     BlockingQueue<Request> requests() {
         return requests;
     }
 
-    /** One entry for each connection that the other side closed. */
+    /** Returns a queue with one element for each connection that the peer closed. */
     BlockingQueue<Boolean> closes() {
         return closes;
     }
@@ -68,7 +68,7 @@
         out.flush();
     }
 
-    /** A whole signed answer. */
+    /** Returns a reply with a complete signed response. */
     static Reply ok(String body) {
         return (request, socket) -> {
             write(
@@ -79,7 +79,7 @@
         };
     }
 
-    /** Ends the connection with a reset. */
+    /** Returns a reply that resets the connection. */
     static Reply reset() {
         return (request, socket) -> {
             socket.setSoLinger(true, 0);
@@ -138,7 +138,7 @@
         return new Request(head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 
-    /** Closes a socket whose failure to close matters to nobody. */
+    /** Closes a socket and rethrows a failure as an unchecked exception. */
     static void closeQuietly(Socket socket) {
         try {
             socket.close();
--- a/gateway/src/test/java/org/jasminehub/gateway/StreamsTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/StreamsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Streams through a real entry instance, and what their callers see. */
+/** Tests streams through a real entry instance as seen by callers. */
 final class StreamsTest extends GatewayFixture {
-    /** Streams. */
+    /** Streams that are interrupted or contain invalid events. */
     @Nested
     final class Streams {
         private ScriptedEndpoint.Reply events(int from, int to, String tail, boolean ends) {
@@ -32,8 +32,8 @@
         }
 
         @Test
-        void testAStreamThatIsCutInsideAnEventGoesOnElsewhereWithoutGapOrRepeat() throws Exception {
-            serveBoth();
+        void testAStreamCutInsideAnEventResumesElsewhereWithoutGapsOrDuplicates() throws Exception {
+            serveWithBothEndpoints();
             script.add(events(1, 2, "id: 3\nda", false));
             script.add(events(3, 4, "", true));
 
@@ -43,14 +43,15 @@
             assertEquals("id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n", data, answer);
             assertTrue(answer.endsWith("0\r\n\r\n"));
             assertEquals(2, requests());
-            boolean isResumedAtTwo = take(one).header("last-event-id").equals("2")
-                    || take(two).header("last-event-id").equals("2");
+            boolean isResumedAtTwo =
+                    takeRequest(endpointOne).header("last-event-id").equals("2")
+                            || takeRequest(endpointTwo).header("last-event-id").equals("2");
             assertTrue(isResumedAtTwo);
         }
 
         @Test
-        void testAStreamThatCannotGoOnDoesNotLookWhole() throws Exception {
-            serveOne();
+        void testAStreamThatCannotBeResumedIsNotTerminated() throws Exception {
+            serveWithOneEndpoint();
             script.add(events(1, 2, "", false));
             script.add(ScriptedEndpoint.reset());
 
@@ -61,8 +62,8 @@
         }
 
         @Test
-        void testAnEventOutOfOrderIsNotDelivered() throws Exception {
-            serveOne();
+        void testAnOutOfOrderEventIsNotDelivered() throws Exception {
+            serveWithOneEndpoint();
             script.add((request, socket) -> {
                 events(1, 1, "id: 3\ndata: e3\n\n", true).answer(request, socket);
                 return true;
