--- a/agent/src/main/java/org/jasminehub/agent/lease/FencingNumberReader.java
+++ b/agent/src/main/java/org/jasminehub/agent/lease/FencingNumberReader.java
@@ -72,7 +72,7 @@
 
     private void teach(LeaseTable table) {
         synchronized (gate) {
-            shards.forEach(shard -> gate.learn(shard, table.lowestValidNumber(shard)));
+            shards.forEach(shard -> gate.raiseLowestValidNumber(shard, table.lowestValidNumber(shard)));
         }
     }
 }
--- a/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
+++ b/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
@@ -17,7 +17,7 @@
 import org.jasminehub.core.lease.LeaseManager;
 import org.jasminehub.core.lease.LeaseRecord;
 import org.jasminehub.core.lease.LeaseRecordCodec;
-import org.jasminehub.core.lease.LeaseTerms;
+import org.jasminehub.core.lease.LeaseTimings;
 import org.jasminehub.core.lease.OrderGate;
 import org.jasminehub.core.lease.ShardId;
 import org.jasminehub.core.time.ManualClock;
@@ -48,7 +48,8 @@
     private static final ShardId SHARD = new ShardId("shard-0");
     private static final long INCARNATION = 7;
     private static final int TIMEOUT_MILLIS = 10_000;
-    private static final long EXPIRY_MILLIS = LeaseTerms.STANDARD.durationMillis() + LeaseTerms.STANDARD.guardMillis();
+    private static final long EXPIRY_MILLIS =
+            LeaseTimings.STANDARD.durationMillis() + LeaseTimings.STANDARD.guardMillis();
 
     private final ManualClock clock = new ManualClock(0);
     private final AtomicLong nonces = new AtomicLong();
@@ -194,7 +195,7 @@
                     new InstanceId(name),
                     1,
                     List.of(SHARD),
-                    LeaseTerms.STANDARD,
+                    LeaseTimings.STANDARD,
                     nonces::incrementAndGet,
                     0,
                     event -> {},
@@ -216,11 +217,11 @@
         }
 
         long number() {
-            return manager.heldNumber(SHARD, clock.monotonicMillis()).orElseThrow();
+            return manager.heldFencingNumber(SHARD, clock.monotonicMillis()).orElseThrow();
         }
 
         boolean holds() {
-            return manager.heldNumber(SHARD, clock.monotonicMillis()).isPresent();
+            return manager.heldFencingNumber(SHARD, clock.monotonicMillis()).isPresent();
         }
 
         private void read() {
@@ -228,7 +229,7 @@
                     logService.read(nextOffset, 100, 0).toCompletableFuture().join();
             page.records().forEach(logRecord -> {
                 codec.decode(logRecord.payload())
-                        .ifPresent(lease -> manager.recordRead(logRecord.offset(), lease, clock.monotonicMillis()));
+                        .ifPresent(lease -> manager.onRecordRead(logRecord.offset(), lease, clock.monotonicMillis()));
                 nextOffset = logRecord.offset() + 1;
             });
             manager.advanceTo(nextOffset);
--- a/bench/src/main/java/org/jasminehub/bench/capacity/CpuSlopes.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/CpuSlopes.java
@@ -73,21 +73,21 @@
     private static Slope heartbeat() {
         MembershipView view = new MembershipView(MembershipSettings.STANDARD, event -> {});
         List<Member> entries = Fleet.entries(8);
-        view.listRead(entries, 0);
+        view.onListRead(entries, 0);
         view.watch(entries.stream().map(Member::id).collect(Collectors.toSet()), 0);
         Hello hello = MessageSizes.hello();
         return slope("CPU for each heartbeat (encode, decode, take)", SMALL_REPEATS, i -> {
             Hello read = parse(Envelope.newBuilder().setHello(hello).build().toByteArray())
                     .getHello();
             InstanceId id = new InstanceId(read.getInstance());
-            view.linkHeard(new MemberFact(id, read.getIncarnation(), MemberState.LIVE), i);
+            view.onDirectFact(new MemberFact(id, read.getIncarnation(), MemberState.LIVE), i);
         });
     }
 
     private static Slope listRefresh() {
         MembershipView view = new MembershipView(MembershipSettings.STANDARD, event -> {});
         List<Member> all = Fleet.all();
-        return slope("CPU for each refresh of a list of 8,100 (parsed)", LARGE_REPEATS, i -> view.listRead(all, i));
+        return slope("CPU for each refresh of a list of 8,100 (parsed)", LARGE_REPEATS, i -> view.onListRead(all, i));
     }
 
     private static Slope subsets() {
@@ -143,7 +143,7 @@
 
     private static Slope order() {
         OrderGate gate = new OrderGate(1, event -> {});
-        gate.learn(SHARD, 0);
+        gate.raiseLowestValidNumber(SHARD, 0);
         OrderRequest request = MessageSizes.order();
         return slope("CPU for each order (encode, decode, admit)", SMALL_REPEATS, i -> {
             Envelope envelope = parse(MessageSizes.control(request).toByteArray());
--- a/bench/src/main/java/org/jasminehub/bench/capacity/MemorySlopes.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/MemorySlopes.java
@@ -14,7 +14,7 @@
 import org.jasminehub.core.lease.LeaseAction;
 import org.jasminehub.core.lease.LeaseManager;
 import org.jasminehub.core.lease.LeaseRecord;
-import org.jasminehub.core.lease.LeaseTerms;
+import org.jasminehub.core.lease.LeaseTimings;
 import org.jasminehub.core.lease.ShardId;
 import org.jasminehub.core.lease.ShardPolicy;
 import org.jasminehub.core.membership.Member;
@@ -69,7 +69,7 @@
 
     private static Object listed(int count) {
         MembershipView view = new MembershipView(MembershipSettings.STANDARD, event -> {});
-        view.listRead(Fleet.agents(count), 0);
+        view.onListRead(Fleet.agents(count), 0);
         return view;
     }
 
@@ -113,9 +113,9 @@
     private static Object leases(int count) {
         List<ShardId> shards = new ShardPolicy(count).shards();
         InstanceId self = new InstanceId("entry-instance-1");
-        LeaseManager manager = new LeaseManager(self, 1, shards, LeaseTerms.STANDARD, () -> 1, 0, event -> {}, 0);
+        LeaseManager manager = new LeaseManager(self, 1, shards, LeaseTimings.STANDARD, () -> 1, 0, event -> {}, 0);
         for (int i = 0; i < count; i++) {
-            manager.recordRead(i, new LeaseRecord(LeaseAction.CLAIM, shards.get(i), self, 1, 0, i, i), 0);
+            manager.onRecordRead(i, new LeaseRecord(LeaseAction.CLAIM, shards.get(i), self, 1, 0, i, i), 0);
         }
         return manager;
     }
--- a/core/src/main/java/org/jasminehub/core/address/AddressPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/address/AddressPolicy.java
@@ -13,10 +13,10 @@
 import org.jasminehub.core.membership.Member;
 
 /**
- * Chooses a stable small subset of the live entry instances for a workspace, spread over failure domains.
+ * Chooses a small, stable subset of the live entry instances for a workspace, spread over failure domains.
  *
- * <p>Rendezvous hashing ranks the instances, so a change of one instance moves only the workspaces that used it. The
- * best of each failure domain go first.
+ * <p>The instances are ranked by rendezvous hashing, so that a change of one instance affects only the workspaces that
+ * used it. The best-ranked instance of each failure domain precedes all others.
  *
  * <pre>{@code
  * List<Member> addresses = new AddressPolicy(3).choose(workspace, liveEntries);
@@ -27,17 +27,17 @@
 public final class AddressPolicy {
     private final int count;
 
-    /** Creates a policy that gives at most {@code count} instances, at least 1. */
+    /** Creates a policy that chooses up to {@code count} instances, which must be at least 1. */
     public AddressPolicy(int count) {
         this.count = (int) Checks.positive("count", count);
     }
 
-    /** Returns the most instances that it gives. */
+    /** Returns the maximum number of instances chosen. */
     public int count() {
         return count;
     }
 
-    /** Returns the chosen instances, the preferred one first; empty only where no entry is live. */
+    /** Returns the chosen instances in order of preference; empty only if no entry instance is live. */
     public List<Member> choose(WorkspaceId workspace, List<Member> entries) {
         List<Member> ranked = entries.stream()
                 .filter(Member::isLive)
--- a/core/src/main/java/org/jasminehub/core/address/DomainDistance.java
+++ b/core/src/main/java/org/jasminehub/core/address/DomainDistance.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.identity.FailureDomain;
 
-/** Tells how far a failure domain is from this instance. */
+/** The distance from this instance to failure domains. */
 @FunctionalInterface
 public interface DomainDistance {
-    /** Returns 0 for the nearest failure domains, and a higher number for those that cost more to reach. */
+    /** Returns 0 for the nearest failure domains and higher values for domains that are more costly to reach. */
     int distance(FailureDomain domain);
 }
--- a/core/src/main/java/org/jasminehub/core/address/EndpointSubsetPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/address/EndpointSubsetPolicy.java
@@ -17,11 +17,11 @@
 import org.jasminehub.core.membership.Member;
 
 /**
- * Chooses the bounded set of endpoints that one entry instance watches and sends work to, for one target.
+ * Chooses the bounded set of endpoints of one target that an entry instance watches and sends work to.
  *
- * <p>Rendezvous hashing ranks the agents of each failure domain, so a change of one agent changes little. The places are
- * dealt out to the failure domains in turn, first to the nearest ones; some are kept for the farther ones, so that the
- * loss of all near ones leaves endpoints that are known already.
+ * <p>The agents of each failure domain are ranked by rendezvous hashing, so that a change of one agent has little
+ * effect on the choice. Agents are selected from the nearest failure domains in round-robin order. A part of the set is
+ * reserved for agents of farther domains, so that known endpoints remain if all near ones are lost.
  *
  * <pre>{@code
  * List<Member> watched = new EndpointSubsetPolicy(16, 4).choose(self, agentsOfTarget, distance);
@@ -33,13 +33,13 @@
     private final int count;
     private final int farCount;
 
-    /** Creates a policy that gives at most {@code count} agents, {@code farCount} of them not among the nearest. */
+    /** Creates a policy that chooses up to {@code count} agents, {@code farCount} of them from farther domains. */
     public EndpointSubsetPolicy(int count, int farCount) {
         this.count = (int) Checks.positive("count", count);
         this.farCount = (int) Checks.inRange("farCount", farCount, 0, count - 1);
     }
 
-    /** Returns the chosen agents; leaving ones are left out. */
+    /** Returns the chosen agents; leaving agents are never chosen. */
     public List<Member> choose(InstanceId self, Collection<Member> agents, DomainDistance distance) {
         TreeMap<Integer, List<Member>> byDistance = agents.stream()
                 .filter(Member::isLive)
@@ -48,23 +48,23 @@
         if (byDistance.isEmpty()) {
             return List.of();
         }
-        List<Member> near = inTurn(self, byDistance.pollFirstEntry().getValue());
+        List<Member> near = interleaveByDomain(self, byDistance.pollFirstEntry().getValue());
         List<Member> far = new ArrayList<>();
-        byDistance.values().forEach(agentsAtDistance -> far.addAll(inTurn(self, agentsAtDistance)));
-        int farTaken = Math.min(far.size(), Math.max(farCount, count - near.size()));
-        List<Member> chosen = new ArrayList<>(near.subList(0, Math.min(near.size(), count - farTaken)));
-        chosen.addAll(far.subList(0, farTaken));
+        byDistance.values().forEach(agentsAtDistance -> far.addAll(interleaveByDomain(self, agentsAtDistance)));
+        int farSelected = Math.min(far.size(), Math.max(farCount, count - near.size()));
+        List<Member> chosen = new ArrayList<>(near.subList(0, Math.min(near.size(), count - farSelected)));
+        chosen.addAll(far.subList(0, farSelected));
         return List.copyOf(chosen);
     }
 
-    /** Orders agents so that each prefix is spread evenly over failure domains, the best-ranked of each first. */
-    private static List<Member> inTurn(InstanceId self, List<Member> agents) {
+    /** Orders agents so that each prefix is spread evenly over failure domains, best-ranked agents first. */
+    private static List<Member> interleaveByDomain(InstanceId self, List<Member> agents) {
         Map<FailureDomain, Deque<Member>> byDomain = new TreeMap<>();
         for (Member agent : ranked(self, agents)) {
             byDomain.computeIfAbsent(agent.failureDomain(), domain -> new ArrayDeque<>())
                     .add(agent);
         }
-        // Each instance starts with another domain, so that the last, incomplete round favours none of them.
+        // The order of domains differs between instances, so that the last, incomplete round favours no domain.
         List<Deque<Member>> queues = byDomain.entrySet().stream()
                 .sorted(Comparator.comparingLong(
                         entry -> score(self.value(), entry.getKey().value())))
--- a/core/src/main/java/org/jasminehub/core/document/DocumentInForce.java
+++ b/core/src/main/java/org/jasminehub/core/document/DocumentInForce.java
@@ -3,13 +3,13 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * A document and the version under which it is in force.
+ * A document that is in force, with its version.
  *
  * @param document the document
- * @param version the log offset at which it was accepted
+ * @param version the offset of the log record with which the document was accepted
  */
 public record DocumentInForce(TeamDocument document, long version) {
-    /** Creates a checked pair. */
+    /** Creates a pair and validates the version. */
     public DocumentInForce {
         Checks.notNegative("version", version);
     }
--- a/core/src/main/java/org/jasminehub/core/document/DocumentYamlAdapter.java
+++ b/core/src/main/java/org/jasminehub/core/document/DocumentYamlAdapter.java
@@ -15,7 +15,7 @@
  * <p>Safe for use by several threads.
  */
 public final class DocumentYamlAdapter {
-    /** The longest text that is read. */
+    /** The maximum length of a document. */
     public static final int MAX_CHARACTERS = 256 * 1024;
 
     private final StrictYamlReader reader = new StrictYamlReader();
@@ -23,7 +23,7 @@
     /**
      * Returns the document that {@code text} describes.
      *
-     * @throws DocumentException if the text does not pass the schema
+     * @throws DocumentException if the text is too long or does not conform to the schema
      */
     public TeamDocument read(String text) {
         if (text.length() > MAX_CHARACTERS) {
@@ -35,7 +35,7 @@
         } catch (YamlException e) {
             YamlFailure failure = e.failure();
             throw new DocumentException(
-                    "line " + failure.line() + ", " + failure.place(), failure.found(), failure.expected());
+                    "line " + failure.line() + ", " + failure.path(), failure.found(), failure.expected());
         }
     }
 }
--- a/core/src/main/java/org/jasminehub/core/document/Priority.java
+++ b/core/src/main/java/org/jasminehub/core/document/Priority.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.document;
 
-/** Which work goes first where not all of it fits; the first constant goes before the others. */
+/** The priority of requests when capacity is insufficient, from the highest to the lowest. */
 public enum Priority {
-    /** Somebody waits for the first token. */
+    /** A user is waiting for the first token. */
     URGENT,
-    /** Somebody waits for the whole answer. */
+    /** A user is waiting for the complete response. */
     NORMAL,
-    /** Nobody waits. */
+    /** No user is waiting. */
     BATCH
 }
--- a/core/src/main/java/org/jasminehub/core/document/RouteKind.java
+++ b/core/src/main/java/org/jasminehub/core/document/RouteKind.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.document;
 
-/** How answers of a route are delivered and what a repeat of its requests would do. */
+/** How the responses of a route are delivered, and whether its requests may be repeated. */
 public enum RouteKind {
-    /** The answer is relayed as it is generated. */
+    /** The response is relayed while it is generated. */
     STREAM,
-    /** The answer is delivered whole; a repeat is harmless. */
+    /** The response is delivered when it is complete; requests may be repeated safely. */
     WHOLE,
-    /** A repeat would have an effect of its own, so the request runs at most once. */
+    /** Repeating a request would repeat its effect, so each request is executed at most once. */
     NON_IDEMPOTENT,
-    /** The answer must reflect the present state, so it is never cached, merged or hedged. */
+    /** The response must reflect the current state, so requests are never cached, merged or hedged. */
     FRESH_READ
 }
--- a/core/src/main/java/org/jasminehub/core/document/RouteRule.java
+++ b/core/src/main/java/org/jasminehub/core/document/RouteRule.java
@@ -5,17 +5,17 @@
 import org.jasminehub.core.membership.Target;
 
 /**
- * How requests of one kind are treated.
+ * A route: which requests it matches and how they are handled.
  *
- * @param name the route's name, unique in its document
- * @param target what serves it: {@code model/NAME} or {@code service/NAME}
- * @param kind how answers are delivered and what a repeat would do
- * @param methods the HTTP methods it takes
- * @param pathPrefix the start of the path below the target that it takes
- * @param priority which work goes first
- * @param deadlineMillis when the whole answer is of no use any more, counted from its arrival
- * @param firstTokenMillis when the first part of the answer should be there, counted from its arrival
- * @param retry how often its requests may be tried again
+ * @param name the name of the route, unique in its document
+ * @param target the target that serves the requests, {@code model/NAME} or {@code service/NAME}
+ * @param kind how responses are delivered and whether requests may be repeated
+ * @param methods the HTTP methods that the route matches
+ * @param pathPrefix the prefix of the paths below the target that the route matches
+ * @param priority the priority of the requests
+ * @param deadlineMillis the time from the arrival of a request after which its complete response is of no use
+ * @param firstTokenMillis the time from the arrival of a request within which its response should begin
+ * @param retry the limits on retries
  */
 public record RouteRule(
         String name,
@@ -29,7 +29,7 @@
         RetryRule retry) {
     private static final int MAX_DEADLINE_MILLIS = 3_600_000;
 
-    /** Creates a checked rule. */
+    /** Creates a rule and validates its components. */
     public RouteRule {
         Checks.notBlank("name", name);
         Checks.that(!methods.isEmpty(), "methods", methods, "a list with at least one HTTP method");
@@ -39,9 +39,9 @@
         methods = List.copyOf(methods);
     }
 
-    /** Tells whether this rule takes a request for {@code wanted} with this method and path below the target. */
-    public boolean matches(Target wanted, String method, String path) {
-        return target.equals(wanted) && methods.contains(method) && isBelowPrefix(path);
+    /** Returns whether this rule matches a request with the given target, method and path below the target. */
+    public boolean matches(Target requestTarget, String method, String path) {
+        return target.equals(requestTarget) && methods.contains(method) && isBelowPrefix(path);
     }
 
     private boolean isBelowPrefix(String path) {
--- a/core/src/main/java/org/jasminehub/core/document/TeamDocument.java
+++ b/core/src/main/java/org/jasminehub/core/document/TeamDocument.java
@@ -11,20 +11,20 @@
 import org.jasminehub.core.membership.Target;
 
 /**
- * What one team runs and how its traffic is treated; immutable.
+ * The configuration of one team: its workspaces, routes and rules for expert placement; immutable.
  *
- * @param schemaVersion the version of this schema, {@value #SCHEMA_VERSION}
- * @param team the team's name
- * @param workspaces the workspaces it serves
- * @param routes its routes; a request takes the first that matches
- * @param experts how it weighs balanced ranks against moves
+ * @param schemaVersion the version of the document schema, {@value #SCHEMA_VERSION}
+ * @param team the name of the team
+ * @param workspaces the workspaces that the team serves
+ * @param routes the routes of the team; the first matching route applies to a request
+ * @param experts the weights for the placement of experts
  */
 public record TeamDocument(
         int schemaVersion, String team, List<WorkspaceRule> workspaces, List<RouteRule> routes, ExpertRule experts) {
-    /** The schema version that this program reads. */
+    /** The supported schema version. */
     public static final int SCHEMA_VERSION = 1;
 
-    /** Creates a checked document. */
+    /** Creates a document and validates it. */
     public TeamDocument {
         Checks.that(schemaVersion == SCHEMA_VERSION, "schemaVersion", schemaVersion, "" + SCHEMA_VERSION);
         Checks.notBlank("team", team);
@@ -34,30 +34,30 @@
         routes = List.copyOf(routes);
     }
 
-    /** Returns the team's name as an identity. */
+    /** Returns the name of the team as a {@link TeamId}. */
     public TeamId teamId() {
         return new TeamId(team);
     }
 
-    /** Returns the rule of {@code workspace}, or nothing where this document does not name it. */
+    /** Returns the rule of {@code workspace}, or empty if this document does not contain it. */
     public Optional<WorkspaceRule> workspace(WorkspaceId workspace) {
         return workspaces.stream()
                 .filter(rule -> rule.name().equals(workspace.value()))
                 .findFirst();
     }
 
-    /** Returns the first route that takes the request, or nothing. */
+    /** Returns the first route that matches the request, or empty if there is none. */
     public Optional<RouteRule> route(Target target, String method, String path) {
         return routes.stream()
                 .filter(rule -> rule.matches(target, method, path))
                 .findFirst();
     }
 
-    private static void requireUnique(String place, List<String> names) {
-        Set<String> seen = new HashSet<>();
+    private static void requireUnique(String field, List<String> names) {
+        Set<String> uniqueNames = new HashSet<>();
         for (String name : names) {
-            if (!seen.add(name)) {
-                throw new InvalidArgumentException(place, name, "a name that stands only once");
+            if (!uniqueNames.add(name)) {
+                throw new InvalidArgumentException(field, name, "a unique name");
             }
         }
     }
--- a/core/src/main/java/org/jasminehub/core/document/WorkspaceRule.java
+++ b/core/src/main/java/org/jasminehub/core/document/WorkspaceRule.java
@@ -4,17 +4,17 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What one workspace may use.
+ * The share of resources and the limits of one workspace.
  *
- * @param name the workspace's name
- * @param weight its share relative to other workspaces when not all work fits, at least 1
- * @param requestsPerSecond requests it may start a second over all entry instances
- * @param tokensPerSecond tokens, of prompts and answers, it may use a second over all entry instances
- * @param concurrentRequests requests it may have running at a time over all entry instances
+ * @param name the name of the workspace
+ * @param weight the share of the workspace relative to others when capacity is insufficient, at least 1
+ * @param requestsPerSecond the limit on new requests per second, over all entry instances
+ * @param tokensPerSecond the limit on prompt and response tokens per second, over all entry instances
+ * @param concurrentRequests the limit on concurrently running requests, over all entry instances
  */
 public record WorkspaceRule(
         String name, int weight, int requestsPerSecond, int tokensPerSecond, int concurrentRequests) {
-    /** Creates a checked rule. */
+    /** Creates a rule and validates its components. */
     public WorkspaceRule {
         Checks.notBlank("name", name);
         Checks.positive("weight", weight);
@@ -23,7 +23,7 @@
         Checks.positive("concurrentRequests", concurrentRequests);
     }
 
-    /** Returns the workspace's name as an identity. */
+    /** Returns the name of the workspace as a {@link WorkspaceId}. */
     public WorkspaceId workspaceId() {
         return new WorkspaceId(name);
     }
--- a/core/src/main/java/org/jasminehub/core/document/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/document/package-info.java
@@ -1,4 +1,4 @@
-/** The team's document: its model and its YAML form. */
+/** Team documents and their YAML format. */
 @NullMarked
 package org.jasminehub.core.document;
 
--- a/core/src/main/java/org/jasminehub/core/error/DocumentException.java
+++ b/core/src/main/java/org/jasminehub/core/error/DocumentException.java
@@ -1,19 +1,19 @@
 package org.jasminehub.core.error;
 
-/** A team's document does not pass its schema. */
+/** Thrown when a team's document does not conform to the schema. */
 public final class DocumentException extends JasminehubException {
     private static final long serialVersionUID = 1L;
 
-    private final String place;
+    private final String path;
 
-    /** Creates the failure for {@code value} found at {@code place} where {@code expected} was allowed. */
-    public DocumentException(String place, Object value, String expected) {
-        super(ErrorCode.DOCUMENT_INVALID, place + ": found " + value + ", expected " + expected, null);
-        this.place = place;
+    /** Creates an exception for {@code value} at {@code path}, where {@code expected} was required. */
+    public DocumentException(String path, Object value, String expected) {
+        super(ErrorCode.DOCUMENT_INVALID, path + ": found " + value + ", expected " + expected, null);
+        this.path = path;
     }
 
     /** Returns the path of the offending key, for example {@code routes[2].deadlineMillis}. */
-    public String place() {
-        return place;
+    public String path() {
+        return path;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/error/ErrorCode.java
+++ b/core/src/main/java/org/jasminehub/core/error/ErrorCode.java
@@ -1,78 +1,78 @@
 package org.jasminehub.core.error;
 
 /**
- * The stable codes of every failure that leaves a process, with the HTTP status that carries each.
+ * The stable codes of all errors that are reported outside a process, with their HTTP status codes.
  *
- * <p>Codes are part of the callers' interface: one is never renamed or given another meaning.
+ * <p>Codes are part of the public interface: a code is never renamed or given another meaning.
  */
 public enum ErrorCode {
-    /** A program passed a value outside its range. */
+    /** An argument has a value that is not allowed. */
     ARGUMENT_INVALID("argument-invalid", 500),
-    /** A settings file cannot be used. */
+    /** A settings file is invalid. */
     SETTINGS_INVALID("settings-invalid", 500),
-    /** A team's document does not pass its schema. */
+    /** A team's document does not conform to the schema. */
     DOCUMENT_INVALID("document-invalid", 422),
-    /** A publish was based on another version than the one in force. */
+    /** A document was published on the basis of a version that is not the one in force. */
     DOCUMENT_CONFLICT("document-conflict", 409),
-    /** The history is no longer readable from where the reader stands. */
+    /** The history can no longer be read from the position of the reader. */
     HISTORY_TRUNCATED("history-truncated", 503),
     /** An exported history does not match its hash chain. */
     AUDIT_MISMATCH("audit-mismatch", 500),
-    /** A service of the platform did not answer, or answered with an error. */
+    /** A service of the platform did not respond or responded with an error. */
     PLATFORM_UNAVAILABLE("platform-unavailable", 503),
-    /** The answer to an append was lost and its effect is not known yet. */
+    /** The response to an append was lost and the effect of the append is not known yet. */
     APPEND_UNSETTLED("append-unsettled", 503),
     /** A request cannot be parsed. */
     REQUEST_MALFORMED("request-malformed", 400),
-    /** A request's body or header is larger than allowed. */
+    /** The body or a header of a request is larger than allowed. */
     REQUEST_TOO_LARGE("request-too-large", 413),
-    /** The workspace is missing or appears in no document in force. */
+    /** The request names no workspace, or one that no document in force contains. */
     WORKSPACE_UNKNOWN("workspace-unknown", 404),
     /** No route of a document in force matches the request. */
     ROUTE_UNKNOWN("route-unknown", 404),
-    /** A call that must not be repeated came without an Idempotency-Key. */
+    /** A non-idempotent request has no Idempotency-Key header. */
     IDEMPOTENCY_KEY_MISSING("idempotency-key-missing", 400),
-    /** The same Idempotency-Key came with another request body. */
+    /** The Idempotency-Key was used before with a different request body. */
     IDEMPOTENCY_KEY_REUSED("idempotency-key-reused", 422),
-    /** The key is older than the window in which repeats are recognized. */
+    /** The Idempotency-Key is older than the time for which repeated requests are recognized. */
     IDEMPOTENCY_KEY_EXPIRED("idempotency-key-expired", 409),
-    /** The workspace is over one of its limits. */
+    /** The workspace exceeds one of its limits. */
     LIMIT_EXCEEDED("limit-exceeded", 429),
-    /** The queue leaves no chance to finish before the deadline. */
+    /** The queue is too long to complete the request before its deadline. */
     DEADLINE_UNREACHABLE("deadline-unreachable", 503),
-    /** The deadline passed while the request ran. */
+    /** The deadline passed while the request was executed. */
     DEADLINE_EXCEEDED("deadline-exceeded", 504),
-    /** An agent's queue is full. */
+    /** The queue of an agent is full. */
     OVERLOADED("overloaded", 503),
-    /** No endpoint serves the route at present. */
+    /** No endpoint currently serves the route. */
     NO_ENDPOINT("no-endpoint", 503),
     /** No more attempts are allowed for the request. */
     RETRIES_EXHAUSTED("retries-exhausted", 503),
-    /** The endpoint failed before it finished its answer. */
+    /** The endpoint failed before its response was complete. */
     ENDPOINT_FAILED("endpoint-failed", 502),
-    /** The answer ended early after part of it was relayed. */
+    /** The response ended early after part of it had been relayed. */
     ANSWER_CUT("answer-cut", 502),
-    /** The instance is leaving and takes no new work. */
+    /** The instance is leaving and accepts no new work. */
     LEAVING("leaving", 503),
-    /** The work was decided under an older document than one already shown here. */
+    /** The request was handled under an older document than one that this process already knows. */
     DOCUMENT_OUTDATED("document-outdated", 503),
-    /** It is not known whether the operation ran. */
+    /** It is not known whether the operation was executed. */
     OUTCOME_UNKNOWN("outcome-unknown", 504),
-    /** The operation's ticket is not valid at this incarnation of the agent. */
+    /** The ticket of the operation is not valid for this incarnation of the agent. */
     TICKET_INVALID("ticket-invalid", 409),
-    /** The operation was revoked before it ran; its key stays revoked. */
+    /** The operation was revoked before it was executed; its key remains revoked. */
     OPERATION_REVOKED("operation-revoked", 409),
-    /** The service's answer to the operation was too large to keep for a repeat. */
+    /** The result of the operation was too large to store for repeated requests. */
     RESULT_NOT_KEPT("result-not-kept", 504),
-    /** The key's home cannot rule out that another agent ran the operation. */
+    /** The home of the key cannot exclude that another agent executed the operation. */
     HOME_UNSETTLED("home-unsettled", 503),
-    /** An order carried an old fencing number. */
+    /** An order has an outdated fencing number or addresses another incarnation of the agent. */
     ORDER_FENCED("order-fenced", 409),
-    /** A peer speaks another protocol version, or sent bytes that are no message. */
+    /** A peer uses another protocol version or sent data that is not a valid message. */
     PROTOCOL_VIOLATION("protocol-violation", 502),
-    /** The instance has not learnt its state yet, or cannot tell whether it is current. */
+    /** The instance has not loaded its state yet or cannot determine whether it is current. */
     NOT_READY("not-ready", 503),
-    /** A fault of this program. */
+    /** An internal error. */
     INTERNAL("internal", 500);
 
     private final String code;
@@ -83,12 +83,12 @@
         this.httpStatus = httpStatus;
     }
 
-    /** Returns the code as callers see it. */
+    /** Returns the text form of the code that callers see. */
     public String code() {
         return code;
     }
 
-    /** Returns the code that callers see as {@code code}, or {@link #INTERNAL} where this program knows none. */
+    /** Returns the constant for the text form {@code code}, or {@link #INTERNAL} if the code is not known. */
     public static ErrorCode of(String code) {
         for (ErrorCode known : values()) {
             if (known.code.equals(code)) {
@@ -98,7 +98,7 @@
         return INTERNAL;
     }
 
-    /** Returns the HTTP status that carries this code to a caller. */
+    /** Returns the HTTP status code of responses with this error code. */
     public int httpStatus() {
         return httpStatus;
     }
--- a/core/src/main/java/org/jasminehub/core/error/InvalidArgumentException.java
+++ b/core/src/main/java/org/jasminehub/core/error/InvalidArgumentException.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.error;
 
-/** A program passed a value outside its range. */
+/** Thrown when an argument has a value that is not allowed. */
 public final class InvalidArgumentException extends JasminehubException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the failure for {@code value} found at {@code place} where {@code expected} was allowed. */
-    public InvalidArgumentException(String place, Object value, String expected) {
-        super(ErrorCode.ARGUMENT_INVALID, place + " is \"" + value + "\" but must be " + expected, null);
+    /** Creates an exception for the argument {@code name} with {@code value}, where {@code expected} was required. */
+    public InvalidArgumentException(String name, Object value, String expected) {
+        super(ErrorCode.ARGUMENT_INVALID, name + " is \"" + value + "\" but must be " + expected, null);
     }
 }
--- a/core/src/main/java/org/jasminehub/core/error/Outcome.java
+++ b/core/src/main/java/org/jasminehub/core/error/Outcome.java
@@ -1,12 +1,12 @@
 package org.jasminehub.core.error;
 
-/** What is known of a request's effect when its caller gets a final answer. */
+/** What is known about the effect of a request when its caller receives the final response. */
 public enum Outcome {
-    /** It ran, once, and its result is in the answer. */
+    /** The request was executed once and the response contains its result. */
     DONE("done"),
-    /** It certainly did not run and never will under this attempt. */
+    /** The request was not executed and never will be by this attempt. */
     NOT_RUN("not-run"),
-    /** It may have run. */
+    /** The request may have been executed. */
     UNKNOWN("unknown");
 
     private final String label;
@@ -15,7 +15,7 @@
         this.label = label;
     }
 
-    /** Returns the outcome that callers see as {@code label}, or {@link #UNKNOWN} for any other word. */
+    /** Returns the outcome with {@code label}, or {@link #UNKNOWN} if there is none. */
     public static Outcome of(String label) {
         for (Outcome known : values()) {
             if (known.label.equals(label)) {
@@ -25,7 +25,7 @@
         return UNKNOWN;
     }
 
-    /** Returns the word that callers see. */
+    /** Returns the text form that callers see. */
     public String label() {
         return label;
     }
--- a/core/src/main/java/org/jasminehub/core/error/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/error/package-info.java
@@ -1,4 +1,4 @@
-/** Failures: one exception type each, all with a stable code. */
+/** Error codes and the base classes of exceptions. */
 @NullMarked
 package org.jasminehub.core.error;
 
--- a/core/src/main/java/org/jasminehub/core/event/Event.java
+++ b/core/src/main/java/org/jasminehub/core/event/Event.java
@@ -1,7 +1,7 @@
 package org.jasminehub.core.event;
 
 /**
- * Something that happened or was decided; a record whose components are the fields of its log line.
+ * An event or decision to be logged; a record whose components are the fields of the log line.
  *
  * <pre>{@code
  * public record EndpointChosen(String requestId, String endpoint, long estimateMillis) implements Event {
@@ -13,6 +13,6 @@
  * }</pre>
  */
 public interface Event {
-    /** Returns the kind, which gives the line its number and severity. */
+    /** Returns the kind, which determines the number and severity of the log line. */
     EventKind kind();
 }
--- a/core/src/main/java/org/jasminehub/core/event/EventSink.java
+++ b/core/src/main/java/org/jasminehub/core/event/EventSink.java
@@ -1,8 +1,8 @@
 package org.jasminehub.core.event;
 
-/** Takes events; implementations must be safe for use by several threads and must not block for long. */
+/** Receives events; implementations must be thread-safe and must not block for long. */
 @FunctionalInterface
 public interface EventSink {
-    /** Takes one event. */
+    /** Called for each event. */
     void emit(Event event);
 }
--- a/core/src/main/java/org/jasminehub/core/event/Severity.java
+++ b/core/src/main/java/org/jasminehub/core/event/Severity.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.event;
 
-/** How much an operator should care about an event. */
+/** The severity of an event for operators. */
 public enum Severity {
-    /** One of many; read when a request is followed. */
+    /** A frequent event, of use when a single request is traced. */
     DETAIL,
     /** A normal change of state or a decision. */
     INFO,
-    /** Something failed and was handled. */
+    /** A failure that was handled. */
     WARNING,
-    /** Something failed that an operator must look into. */
+    /** A failure that an operator must investigate. */
     ERROR
 }
--- a/core/src/main/java/org/jasminehub/core/event/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/event/package-info.java
@@ -1,4 +1,4 @@
-/** Numbered events, one for each decision worth a log line. */
+/** Numbered events that are written to the log. */
 @NullMarked
 package org.jasminehub.core.event;
 
--- a/core/src/main/java/org/jasminehub/core/identity/EndpointId.java
+++ b/core/src/main/java/org/jasminehub/core/identity/EndpointId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of an endpoint: a model server or a plain service instance behind its agent. */
+/** The name of an endpoint, which is a model server or plain service instance behind an agent. */
 public record EndpointId(String value) implements Comparable<EndpointId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public EndpointId {
         Checks.notBlank("endpoint", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/FailureDomain.java
+++ b/core/src/main/java/org/jasminehub/core/identity/FailureDomain.java
@@ -4,7 +4,7 @@
 
 /** The name of a set of instances that tend to fail together. */
 public record FailureDomain(String value) implements Comparable<FailureDomain> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public FailureDomain {
         Checks.notBlank("failure domain", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/InstanceId.java
+++ b/core/src/main/java/org/jasminehub/core/identity/InstanceId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of one instance that runs a process of the system. */
+/** The name of an instance that runs a process of the system. */
 public record InstanceId(String value) implements Comparable<InstanceId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public InstanceId {
         Checks.notBlank("instance", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/RequestId.java
+++ b/core/src/main/java/org/jasminehub/core/identity/RequestId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of one request, the same in each of its attempts. */
+/** The identifier of a request, shared by all its attempts. */
 public record RequestId(String value) implements Comparable<RequestId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates an identifier, which must not be blank. */
     public RequestId {
         Checks.notBlank("request id", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/TeamId.java
+++ b/core/src/main/java/org/jasminehub/core/identity/TeamId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of a service team, the owner of one document. */
+/** The name of a service team; each team owns one document. */
 public record TeamId(String value) implements Comparable<TeamId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public TeamId {
         Checks.notBlank("team", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/WorkspaceId.java
+++ b/core/src/main/java/org/jasminehub/core/identity/WorkspaceId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of a workspace, on whose behalf callers send requests. */
+/** The name of a workspace on whose behalf callers send requests. */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public WorkspaceId {
         Checks.notBlank("workspace", value);
     }
--- a/core/src/main/java/org/jasminehub/core/identity/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/identity/package-info.java
@@ -1,4 +1,4 @@
-/** Validated names of instances, failure domains, workspaces and endpoints. */
+/** Validated names of instances, failure domains, workspaces, endpoints, teams and requests. */
 @NullMarked
 package org.jasminehub.core.identity;
 
--- a/core/src/main/java/org/jasminehub/core/internal/Checks.java
+++ b/core/src/main/java/org/jasminehub/core/internal/Checks.java
@@ -2,11 +2,11 @@
 
 import org.jasminehub.core.error.InvalidArgumentException;
 
-/** Checks arguments and names the offending value and its place when one fails. Not part of the public API. */
+/** Argument checks that throw {@link InvalidArgumentException} on failure. Not part of the public API. */
 public final class Checks {
     private Checks() {}
 
-    /** Returns {@code value}, or fails unless it is at least 0. */
+    /** Returns {@code value} if it is at least 0; otherwise throws an exception. */
     public static long notNegative(String name, long value) {
         if (value < 0) {
             throw new InvalidArgumentException(name, value, "a value of at least 0");
@@ -14,7 +14,7 @@
         return value;
     }
 
-    /** Returns {@code value}, or fails unless it is above 0. */
+    /** Returns {@code value} if it is above 0; otherwise throws an exception. */
     public static long positive(String name, long value) {
         if (value <= 0) {
             throw new InvalidArgumentException(name, value, "a value above 0");
@@ -22,7 +22,7 @@
         return value;
     }
 
-    /** Returns {@code value}, or fails unless {@code low <= value <= high}. */
+    /** Returns {@code value} if {@code low <= value <= high}; otherwise, also for NaN, throws an exception. */
     public static double inRange(String name, double value, double low, double high) {
         if (!(value >= low && value <= high)) {
             throw new InvalidArgumentException(name, value, "a value from " + low + " to " + high);
@@ -30,17 +30,17 @@
         return value;
     }
 
-    /** Returns {@code value}, or fails if it is empty or blank. */
+    /** Returns {@code value} if it is not empty or blank; otherwise throws an exception. */
     public static String notBlank(String name, String value) {
         if (value.isBlank()) {
-            throw new InvalidArgumentException(name, value, "a text that is not blank");
+            throw new InvalidArgumentException(name, value, "a non-blank text");
         }
         return value;
     }
 
-    /** Fails with the place {@code name} and what was {@code expected} unless {@code holds}. */
-    public static void that(boolean holds, String name, Object value, String expected) {
-        if (!holds) {
+    /** Throws an exception for the argument {@code name} with {@code value} unless {@code condition} is true. */
+    public static void that(boolean condition, String name, Object value, String expected) {
+        if (!condition) {
             throw new InvalidArgumentException(name, value, expected);
         }
     }
--- a/core/src/main/java/org/jasminehub/core/internal/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/internal/package-info.java
@@ -1,4 +1,4 @@
-/** Argument checks shared by this module. */
+/** Argument checks; not part of the public API. */
 @NullMarked
 package org.jasminehub.core.internal;
 
--- a/core/src/main/java/org/jasminehub/core/lease/CandidateRanking.java
+++ b/core/src/main/java/org/jasminehub/core/lease/CandidateRanking.java
@@ -6,15 +6,16 @@
 import org.jasminehub.core.identity.InstanceId;
 
 /**
- * Ranks the live entry instances for the lease of a shard by rendezvous hashing, so that one claims first and the others
- * keep the log free of claims that would fail.
+ * Ranks the live entry instances as candidates for the lease of a shard by rendezvous hashing.
  *
- * <p>Instances with different views rank differently, which costs appends only. Stateless.
+ * <p>The first-ranked candidate claims the lease first and the others wait, so that few claims are appended that would
+ * be rejected. Instances with different membership views may rank the candidates differently; this causes additional
+ * appends but no other harm. Stateless.
  */
 public final class CandidateRanking {
     private CandidateRanking() {}
 
-    /** Returns how many of {@code live} come before {@code self} for {@code shard}. */
+    /** Returns the number of instances in {@code live} that rank before {@code self} for {@code shard}. */
     public static int rank(ShardId shard, InstanceId self, Collection<InstanceId> live) {
         long ownScore = score(shard, self);
         return (int) live.stream()
--- a/core/src/main/java/org/jasminehub/core/lease/FencingNumberLearnt.java
+++ b/core/src/main/java/org/jasminehub/core/lease/FencingNumberLearnt.java
@@ -3,7 +3,9 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** An agent that had just started may take orders for a shard from now on. */
+/**
+ * Reports that an agent has learnt the lowest valid fencing number of a shard and accepts orders for it from now on.
+ */
 public record FencingNumberLearnt(String shard, long lowestValidNumber) implements Event {
     @Override
     public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseAction.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseAction.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.lease;
 
-/** What the writer of a lease record asks for. */
+/** The operation that the writer of a lease record requests. */
 public enum LeaseAction {
-    /** To become the holder. */
+    /** Acquire the lease. */
     CLAIM,
-    /** To stay the holder. */
+    /** Extend a lease that the writer holds. */
     RENEW,
-    /** To stop being the holder at once. */
+    /** Give up the lease before it expires. */
     RELEASE
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseCandidate.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseCandidate.java
@@ -5,45 +5,57 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import org.jasminehub.core.identity.InstanceId;
-import org.jasminehub.core.lease.LeaseState.Knowledge;
+import org.jasminehub.core.lease.LeaseState.Status;
 import org.jspecify.annotations.Nullable;
 
-/** Decides when this instance claims, renews and releases the lease of one shard, and whether it holds it. */
+/**
+ * The participation of this instance in the lease of one shard.
+ *
+ * <p>Decides when to claim, renew and release the lease, and whether this instance holds it at a given time.
+ */
 final class LeaseCandidate {
     private final ShardId shard;
     private final InstanceId self;
     private final long incarnation;
-    private final LeaseTerms terms;
+    private final LeaseTimings timings;
     private final LongSupplier nonces;
-    /** When each append that has shown no effect yet was started, by its nonce. */
+    /** Start times of the appends whose records have not been read back yet, by nonce. */
     private final Map<Long, Long> startMillisByNonce = new HashMap<>();
 
-    private long observedMillis;
-    private long lastAcceptedStartMillis;
+    /** When the last record of the shard was read that was not rejected. */
+    private long lastEffectMillis;
+    /** When the append of this instance's last accepted claim or renewal was started. */
+    private long leaseStartMillis;
+
     private long validUntilMillis = Long.MIN_VALUE;
     private boolean isReleased;
 
     LeaseCandidate(
-            ShardId shard, InstanceId self, long incarnation, LeaseTerms terms, LongSupplier nonces, long startMillis) {
+            ShardId shard,
+            InstanceId self,
+            long incarnation,
+            LeaseTimings timings,
+            LongSupplier nonces,
+            long startMillis) {
         this.shard = shard;
         this.self = self;
         this.incarnation = incarnation;
-        this.terms = terms;
+        this.timings = timings;
         this.nonces = nonces;
-        this.observedMillis = startMillis;
+        this.lastEffectMillis = startMillis;
     }
 
-    void recordRead(LeaseRecord leaseRecord, LeaseEffect effect, long nowMillis) {
+    void onRecordRead(LeaseRecord leaseRecord, LeaseEffect effect, long nowMillis) {
         if (effect != LeaseEffect.REJECTED) {
-            observedMillis = nowMillis;
+            lastEffectMillis = nowMillis;
         }
-        if (!leaseRecord.isFrom(self, incarnation)) {
+        if (!leaseRecord.isWrittenBy(self, incarnation)) {
             return;
         }
         @Nullable Long startMillis = startMillisByNonce.remove(leaseRecord.nonce());
         if (startMillis != null && effect == LeaseEffect.ACCEPTED && leaseRecord.action() != LeaseAction.RELEASE) {
-            lastAcceptedStartMillis = Math.max(lastAcceptedStartMillis, startMillis);
-            validUntilMillis = Math.max(validUntilMillis, startMillis + terms.durationMillis());
+            leaseStartMillis = Math.max(leaseStartMillis, startMillis);
+            validUntilMillis = Math.max(validUntilMillis, startMillis + timings.durationMillis());
         }
     }
 
@@ -51,40 +63,45 @@
         return !isReleased && state.isHeldBy(self, incarnation) && nowMillis < validUntilMillis;
     }
 
-    /** Returns the record to append now, if any; its time counts from this call. */
+    /** Returns the record to append now, if any; the lease time that it requests starts with this call. */
     Optional<LeaseRecord> nextAppend(LeaseState state, long readToOffset, int rank, long nowMillis) {
-        forgetAppendsWithoutUse(nowMillis);
-        boolean isUnderway = !startMillisByNonce.isEmpty() && nowMillis < newestStartMillis() + terms.resendMillis();
-        if (isReleased || isUnderway) {
+        dropExpiredAppends(nowMillis);
+        boolean isAppendPending =
+                !startMillisByNonce.isEmpty() && nowMillis < newestStartMillis() + timings.resendMillis();
+        if (isReleased || isAppendPending) {
             return Optional.empty();
         }
         if (state.isHeldBy(self, incarnation)) {
-            boolean isDue = nowMillis >= lastAcceptedStartMillis + terms.renewIntervalMillis();
+            boolean isDue = nowMillis >= leaseStartMillis + timings.renewIntervalMillis();
             return isDue
-                    ? Optional.of(append(LeaseAction.RENEW, state.fencingNumber(), readToOffset, nowMillis))
+                    ? Optional.of(newAppend(LeaseAction.RENEW, state.fencingNumber(), readToOffset, nowMillis))
                     : Optional.empty();
         }
-        boolean isDue = nowMillis >= claimableFromMillis(state) + rank * terms.rankDelayMillis();
-        return isDue ? Optional.of(append(LeaseAction.CLAIM, 0, readToOffset, nowMillis)) : Optional.empty();
+        boolean isDue = nowMillis >= claimableFromMillis(state) + rank * timings.rankDelayMillis();
+        return isDue ? Optional.of(newAppend(LeaseAction.CLAIM, 0, readToOffset, nowMillis)) : Optional.empty();
     }
 
-    /** Stops holding and claiming at once; returns the record that tells the others, if they need it. */
+    /**
+     * Stops holding and claiming the lease permanently.
+     *
+     * @return the record that announces the release, or empty if this instance was not the holder
+     */
     Optional<LeaseRecord> release(LeaseState state, long readToOffset, long nowMillis) {
         boolean isHolder = !isReleased && state.isHeldBy(self, incarnation);
         isReleased = true;
         return isHolder
-                ? Optional.of(append(LeaseAction.RELEASE, state.fencingNumber(), readToOffset, nowMillis))
+                ? Optional.of(newAppend(LeaseAction.RELEASE, state.fencingNumber(), readToOffset, nowMillis))
                 : Optional.empty();
     }
 
     private long claimableFromMillis(LeaseState state) {
-        if (state.knowledge() == Knowledge.RELEASED) {
-            return observedMillis;
+        if (state.status() == Status.RELEASED) {
+            return lastEffectMillis;
         }
-        return observedMillis + terms.durationMillis() + terms.guardMillis();
+        return lastEffectMillis + timings.durationMillis() + timings.guardMillis();
     }
 
-    private LeaseRecord append(LeaseAction action, long number, long readToOffset, long nowMillis) {
+    private LeaseRecord newAppend(LeaseAction action, long number, long readToOffset, long nowMillis) {
         long nonce = nonces.getAsLong();
         startMillisByNonce.put(nonce, nowMillis);
         return new LeaseRecord(action, shard, self, incarnation, number, readToOffset, nonce);
@@ -97,7 +114,7 @@
                 .orElse(Long.MIN_VALUE);
     }
 
-    private void forgetAppendsWithoutUse(long nowMillis) {
-        startMillisByNonce.values().removeIf(startMillis -> startMillis + terms.durationMillis() <= nowMillis);
+    private void dropExpiredAppends(long nowMillis) {
+        startMillisByNonce.values().removeIf(startMillis -> startMillis + timings.durationMillis() <= nowMillis);
     }
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseEffect.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseEffect.java
@@ -1,11 +1,15 @@
 package org.jasminehub.core.lease;
 
-/** What a lease record did to the lease of its shard. */
+/** The effect of a lease record on the lease of its shard. */
 public enum LeaseEffect {
-    /** It took effect. */
+    /** The record took effect. */
     ACCEPTED,
-    /** It changed nothing, as another record of the shard came before it that its writer had not read. */
+    /** The record had no effect because its writer had not read an earlier record of the shard. */
     REJECTED,
-    /** The reader cannot tell, as the log has dropped what it would need; the next accepted record ends the doubt. */
+    /**
+     * The reader cannot determine the effect because the log no longer contains the records that it depends on.
+     *
+     * <p>The state is known again with the next accepted record.
+     */
     UNDETERMINED
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseGained.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseGained.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** This instance holds the lease of a shard from now on. */
+/** Reports that this instance has acquired the lease of a shard. */
 public record LeaseGained(String shard, long fencingNumber, String instance, long incarnation) implements Event {
     @Override
     public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseManager.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseManager.java
@@ -14,16 +14,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes part in the leases of all shards on behalf of one instance.
+ * Manages the leases of all shards on behalf of one instance.
  *
- * <p>The caller feeds every record that it reads from the log, appends what {@link #poll} returns, and acts for a shard
- * only while {@link #heldNumber} gives a number. The answers to the appends are not needed: an append counts when its
- * record is read again, so one whose answer was lost counts too.
+ * <p>The caller passes in every lease record that it reads from the log, appends the records returned by {@link #poll},
+ * and acts for a shard only while {@link #heldFencingNumber} returns a number. The responses to the appends are not
+ * needed: an append takes effect when its record is read back, so it also counts when its response was lost.
  *
  * <pre>{@code
- * manager.recordRead(offset, leaseRecord, clock.monotonicMillis());
+ * manager.onRecordRead(offset, leaseRecord, clock.monotonicMillis());
  * manager.poll(shard -> rankOf(shard), clock.monotonicMillis()).forEach(this::append);
- * OptionalLong number = manager.heldNumber(shard, clock.monotonicMillis());
+ * Optional<Long> fencingNumber = manager.heldFencingNumber(shard, clock.monotonicMillis());
  * }</pre>
  *
  * <p>Not safe for use by several threads.
@@ -34,25 +34,25 @@
     private final LeaseTable table;
     private final EventSink events;
     private final Map<ShardId, LeaseCandidate> candidates = new TreeMap<>();
-    private final Map<ShardId, Long> announcedNumbers = new HashMap<>();
+    private final Map<ShardId, Long> reportedNumbers = new HashMap<>();
 
     /**
-     * Creates a manager that has read nothing yet.
+     * Creates a manager that has not read any record yet.
      *
      * @param self this instance
-     * @param incarnation its incarnation
-     * @param shards all shards
-     * @param terms the times
-     * @param nonces gives numbers that this instance has not used before, in any incarnation
+     * @param incarnation the incarnation of this instance
+     * @param shards all shards that have a lease
+     * @param timings the timings of leases
+     * @param nonces supplies numbers that this instance has not used before in any incarnation
      * @param firstOffset the offset from which records will be read
-     * @param events takes the decisions
-     * @param nowMillis the monotonic time
+     * @param events receives an event whenever a lease is gained or lost
+     * @param nowMillis the current monotonic time
      */
     public LeaseManager(
             InstanceId self,
             long incarnation,
             List<ShardId> shards,
-            LeaseTerms terms,
+            LeaseTimings timings,
             LongSupplier nonces,
             long firstOffset,
             EventSink events,
@@ -62,39 +62,39 @@
         this.table = new LeaseTable(firstOffset);
         this.events = events;
         for (ShardId shard : shards) {
-            candidates.put(shard, new LeaseCandidate(shard, self, incarnation, terms, nonces, nowMillis));
+            candidates.put(shard, new LeaseCandidate(shard, self, incarnation, timings, nonces, nowMillis));
         }
     }
 
-    /** Takes the record that was read at {@code offset}. */
-    public LeaseEffect recordRead(long offset, LeaseRecord leaseRecord, long nowMillis) {
+    /** Applies the record that was read at {@code offset}; records already applied are ignored. */
+    public LeaseEffect onRecordRead(long offset, LeaseRecord leaseRecord, long nowMillis) {
         if (offset < table.nextOffset()) {
             return LeaseEffect.REJECTED;
         }
         LeaseEffect effect = table.apply(offset, leaseRecord);
         @Nullable LeaseCandidate candidate = candidates.get(leaseRecord.shard());
         if (candidate != null) {
-            candidate.recordRead(leaseRecord, effect, nowMillis);
-            announceChange(leaseRecord.shard(), nowMillis);
+            candidate.onRecordRead(leaseRecord, effect, nowMillis);
+            emitHoldingChange(leaseRecord.shard(), nowMillis);
         }
         return effect;
     }
 
-    /** Notes that all records before {@code offset} were read. */
+    /** Records that all log records before {@code offset} have been read. */
     public void advanceTo(long offset) {
         table.advanceTo(offset);
     }
 
     /**
-     * Returns the records to append now, each counting from this call.
+     * Returns the records to append now; the lease time that each requests starts with this call.
      *
-     * @param rank this instance's place among the live candidates of a shard, 0 for the first
-     * @param nowMillis the monotonic time
+     * @param rank the rank of this instance among the live candidates of a shard, starting at 0
+     * @param nowMillis the current monotonic time
      */
     public List<LeaseRecord> poll(ToIntFunction<ShardId> rank, long nowMillis) {
         List<LeaseRecord> appends = new ArrayList<>();
         candidates.forEach((shard, candidate) -> {
-            announceChange(shard, nowMillis);
+            emitHoldingChange(shard, nowMillis);
             candidate
                     .nextAppend(table.state(shard), table.nextOffset(), rank.applyAsInt(shard), nowMillis)
                     .ifPresent(appends::add);
@@ -102,39 +102,41 @@
         return appends;
     }
 
-    /** Gives up all leases for good; returns the records that tell the others. */
+    /** Gives up all leases permanently and returns the records that announce this to the other instances. */
     public List<LeaseRecord> releaseAll(long nowMillis) {
         List<LeaseRecord> appends = new ArrayList<>();
         candidates.forEach((shard, candidate) -> {
             candidate.release(table.state(shard), table.nextOffset(), nowMillis).ifPresent(appends::add);
-            announceChange(shard, nowMillis);
+            emitHoldingChange(shard, nowMillis);
         });
         return appends;
     }
 
-    /** Returns the fencing number under which this instance may act for {@code shard} now, if it holds the lease. */
-    public Optional<Long> heldNumber(ShardId shard, long nowMillis) {
+    /**
+     * Returns the fencing number under which this instance may act for {@code shard}, or empty if it holds no lease.
+     */
+    public Optional<Long> heldFencingNumber(ShardId shard, long nowMillis) {
         @Nullable LeaseCandidate candidate = candidates.get(shard);
         LeaseState state = table.state(shard);
         boolean isHeld = candidate != null && candidate.holds(state, nowMillis);
         return isHeld ? Optional.of(state.fencingNumber()) : Optional.empty();
     }
 
-    /** Returns what is known of {@code shard}. */
+    /** Returns the state of the lease of {@code shard} according to the records read so far. */
     public LeaseState state(ShardId shard) {
         return table.state(shard);
     }
 
-    private void announceChange(ShardId shard, long nowMillis) {
-        @Nullable Long announced = announcedNumbers.get(shard);
-        @Nullable Long held = heldNumber(shard, nowMillis).orElse(null);
-        if (announced != null && !announced.equals(held)) {
-            announcedNumbers.remove(shard);
+    private void emitHoldingChange(ShardId shard, long nowMillis) {
+        @Nullable Long reported = reportedNumbers.get(shard);
+        @Nullable Long held = heldFencingNumber(shard, nowMillis).orElse(null);
+        if (reported != null && !reported.equals(held)) {
+            reportedNumbers.remove(shard);
             events.emit(new LeaseLost(
-                    shard.value(), announced, String.valueOf(table.state(shard).holder())));
+                    shard.value(), reported, String.valueOf(table.state(shard).holder())));
         }
-        if (held != null && !held.equals(announced)) {
-            announcedNumbers.put(shard, held);
+        if (held != null && !held.equals(reported)) {
+            reportedNumbers.put(shard, held);
             events.emit(new LeaseGained(shard.value(), held, self.value(), incarnation));
         }
     }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseRecord.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseRecord.java
@@ -4,15 +4,15 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * One record of the log about the lease of a shard.
+ * A log record that claims, renews or releases the lease of a shard.
  *
- * @param action what the writer asks for
- * @param shard the shard
- * @param holder the writer
+ * @param action the requested operation
+ * @param shard the shard whose lease is concerned
+ * @param holder the instance that wrote the record
  * @param incarnation the writer's incarnation
  * @param fencingNumber the offset of the claim under which the writer holds the lease; 0 in a claim
  * @param readToOffset the offset up to which the writer had read the log, exclusive
- * @param nonce unique among the writer's records, by which it finds this record again
+ * @param nonce a number unique among the records of the writer, by which it recognizes this record when reading the log
  */
 public record LeaseRecord(
         LeaseAction action,
@@ -22,15 +22,15 @@
         long fencingNumber,
         long readToOffset,
         long nonce) {
-    /** Creates a checked record. */
+    /** Creates a record and validates its components. */
     public LeaseRecord {
         Checks.notNegative("incarnation", incarnation);
         Checks.notNegative("fencingNumber", fencingNumber);
         Checks.notNegative("readToOffset", readToOffset);
     }
 
-    /** Tells whether {@code instance} wrote it in {@code itsIncarnation}. */
-    public boolean isFrom(InstanceId instance, long itsIncarnation) {
-        return holder.equals(instance) && incarnation == itsIncarnation;
+    /** Returns whether {@code instance} wrote this record in {@code writerIncarnation}. */
+    public boolean isWrittenBy(InstanceId instance, long writerIncarnation) {
+        return holder.equals(instance) && incarnation == writerIncarnation;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseRecordCodec.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseRecordCodec.java
@@ -12,14 +12,14 @@
 import org.jasminehub.core.identity.InstanceId;
 
 /**
- * Writes and reads lease records as JSON objects of the type {@value #TYPE}.
+ * Encodes and decodes lease records as JSON objects of type {@value #TYPE}.
  *
  * <pre>{@code
  * byte[] payload = codec.encode(leaseRecord);
  * Optional<LeaseRecord> read = codec.decode(payload);
  * }</pre>
  *
- * <p>Unknown fields are skipped. Safe for use by several threads.
+ * <p>Unknown fields are ignored. Safe for use by several threads.
  */
 public final class LeaseRecordCodec {
     /** The {@code type} of a lease record. */
@@ -33,7 +33,7 @@
             .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
             .build();
 
-    /** Returns the bytes of {@code leaseRecord}. */
+    /** Returns the encoded form of {@code leaseRecord}. */
     public byte[] encode(LeaseRecord leaseRecord) {
         Fields fields = Fields.of(leaseRecord);
         ObjectNode node = mapper.createObjectNode();
@@ -42,10 +42,10 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns the lease record in {@code payload}, or nothing where it holds something else. */
+    /** Returns the lease record in {@code payload}, or empty if the payload is not a valid lease record. */
     public Optional<LeaseRecord> decode(byte[] payload) {
         String text = new String(payload, StandardCharsets.UTF_8);
-        // Most records of the log are documents: they are told apart without parsing them.
+        // Most log records are documents; this check rejects them without parsing.
         if (!text.contains("\"" + TYPE + "\"")) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseState.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseState.java
@@ -4,21 +4,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the records read so far say of a shard's lease.
+ * The state of a shard's lease according to the log records read so far.
  *
- * @param knowledge whether and what they say
- * @param fencingNumber the highest number known, 0 where none is
- * @param holder who was given that number; null unless {@code knowledge} is HELD
- * @param incarnation the holder's incarnation
- * @param lastRecordOffset the offset of the shard's last record, accepted or not; -1 where none was read
+ * @param status whether the lease is held, as far as it is known
+ * @param fencingNumber the fencing number of the last accepted record, or 0 if none is known
+ * @param holder the instance that wrote the last accepted record, or null if none is known
+ * @param incarnation the incarnation of {@code holder}
+ * @param lastRecordOffset the offset of the last record of the shard, accepted or not, or -1 if none was read
  */
 public record LeaseState(
-        Knowledge knowledge, long fencingNumber, @Nullable InstanceId holder, long incarnation, long lastRecordOffset) {
-    /** How much is known. */
-    public enum Knowledge {
-        /** The reader has seen no record of the shard. */
+        Status status, long fencingNumber, @Nullable InstanceId holder, long incarnation, long lastRecordOffset) {
+    /** Whether the lease is held, as far as the reader knows. */
+    public enum Status {
+        /** No record of the shard has been read. */
         UNSEEN,
-        /** The reader has seen records only whose effect depends on records that the log has dropped. */
+        /** The effect of the records read depends on earlier records that the log no longer contains. */
         UNDETERMINED,
         /** The last accepted record released the lease. */
         RELEASED,
@@ -26,14 +26,14 @@
         HELD
     }
 
-    static final LeaseState UNSEEN = new LeaseState(Knowledge.UNSEEN, 0, null, 0, -1);
+    static final LeaseState UNSEEN = new LeaseState(Status.UNSEEN, 0, null, 0, -1);
 
     LeaseState withLastRecordOffset(long offset) {
-        return new LeaseState(knowledge, fencingNumber, holder, incarnation, offset);
+        return new LeaseState(status, fencingNumber, holder, incarnation, offset);
     }
 
-    /** Tells whether {@code instance} was given the present number in {@code itsIncarnation}. */
-    public boolean isHeldBy(InstanceId instance, long itsIncarnation) {
-        return knowledge == Knowledge.HELD && instance.equals(holder) && incarnation == itsIncarnation;
+    /** Returns whether {@code instance} in {@code ofIncarnation} is the holder according to the log. */
+    public boolean isHeldBy(InstanceId instance, long ofIncarnation) {
+        return status == Status.HELD && instance.equals(holder) && incarnation == ofIncarnation;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseTable.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseTable.java
@@ -3,14 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.jasminehub.core.internal.Checks;
-import org.jasminehub.core.lease.LeaseState.Knowledge;
+import org.jasminehub.core.lease.LeaseState.Status;
 
 /**
- * Replays the lease records of the log.
+ * The leases of all shards, derived by replaying the lease records of the log.
  *
- * <p>A record takes effect if and only if its shard has no other record, of any effect, from the offset up to which its
- * writer had read the log to its own. So the writer knew the state on which it decided, and every reader that can tell
- * comes to the same verdict, wherever in the log it started. The offset of an accepted claim is the fencing number.
+ * <p>A record takes effect if and only if no other record of its shard, accepted or rejected, lies between the offset
+ * up to which its writer had read the log and the record itself. This guarantees that the writer knew the current state
+ * when it wrote the record, and that all readers that can determine the effect agree on it, wherever in the log they
+ * started. The offset of an accepted claim is the fencing number of the lease.
  *
  * <pre>{@code
  * LeaseTable table = new LeaseTable(page.firstOffset());
@@ -25,53 +26,55 @@
     private final long firstOffset;
     private long nextOffset;
 
-    /** Creates a table for a reader whose first record is at or after {@code firstOffset}. */
+    /** Creates a table for a reader that starts reading the log at {@code firstOffset}. */
     public LeaseTable(long firstOffset) {
         this.firstOffset = Checks.notNegative("firstOffset", firstOffset);
         this.nextOffset = firstOffset;
     }
 
-    /** Applies the record at {@code offset}; one that was applied before changes nothing and counts as rejected. */
+    /** Applies the record at {@code offset}; a record that was already applied is ignored and reported as rejected. */
     public LeaseEffect apply(long offset, LeaseRecord leaseRecord) {
         if (offset < nextOffset) {
             return LeaseEffect.REJECTED;
         }
         nextOffset = offset + 1;
-        LeaseState before = state(leaseRecord.shard());
-        LeaseEffect effect = effect(before, offset, leaseRecord);
-        states.put(leaseRecord.shard(), after(before, offset, leaseRecord, effect));
+        LeaseState previous = state(leaseRecord.shard());
+        LeaseEffect effect = effectOf(previous, offset, leaseRecord);
+        states.put(leaseRecord.shard(), nextState(previous, offset, leaseRecord, effect));
         return effect;
     }
 
-    /** Notes that all records before {@code offset} were read, also those that concern no lease. */
+    /**
+     * Records that all log records before {@code offset} have been read, including those that are not lease records.
+     */
     public void advanceTo(long offset) {
         nextOffset = Math.max(nextOffset, offset);
     }
 
-    /** Returns the offset of the next record to apply. */
+    /** Returns the lowest offset of a record that can still be applied. */
     public long nextOffset() {
         return nextOffset;
     }
 
-    /** Returns the first offset that this reader could read. */
+    /** Returns the offset from which this reader started reading. */
     public long firstOffset() {
         return firstOffset;
     }
 
-    /** Returns what is known of {@code shard}. */
+    /** Returns the state of the lease of {@code shard} according to the records applied so far. */
     public LeaseState state(ShardId shard) {
         return states.getOrDefault(shard, LeaseState.UNSEEN);
     }
 
     /**
-     * Returns the lowest number that an order for {@code shard} may carry, or -1 while that is not known.
+     * Returns the lowest fencing number that an order for {@code shard} may carry, or -1 if it cannot be determined.
      *
-     * <p>A shard without a record has no live lease older than the first offset, as a live one is renewed well within
-     * the log's retention.
+     * <p>For a shard without a record this is the first offset: a lease claimed before it can no longer be live,
+     * because a live lease is renewed well within the retention time of the log.
      */
     public long lowestValidNumber(ShardId shard) {
         LeaseState state = state(shard);
-        return switch (state.knowledge()) {
+        return switch (state.status()) {
             case UNSEEN -> firstOffset;
             case UNDETERMINED -> -1;
             case RELEASED -> state.fencingNumber() + 1;
@@ -79,28 +82,28 @@
         };
     }
 
-    private LeaseEffect effect(LeaseState before, long offset, LeaseRecord leaseRecord) {
+    private LeaseEffect effectOf(LeaseState previous, long offset, LeaseRecord leaseRecord) {
         if (leaseRecord.readToOffset() > offset) {
             return LeaseEffect.REJECTED;
         }
-        if (before.lastRecordOffset() >= leaseRecord.readToOffset()) {
+        if (previous.lastRecordOffset() >= leaseRecord.readToOffset()) {
             return LeaseEffect.REJECTED;
         }
-        boolean needsDroppedRecords = leaseRecord.readToOffset() < firstOffset;
-        return needsDroppedRecords ? LeaseEffect.UNDETERMINED : LeaseEffect.ACCEPTED;
+        boolean needsTruncatedRecords = leaseRecord.readToOffset() < firstOffset;
+        return needsTruncatedRecords ? LeaseEffect.UNDETERMINED : LeaseEffect.ACCEPTED;
     }
 
-    private static LeaseState after(LeaseState before, long offset, LeaseRecord leaseRecord, LeaseEffect effect) {
+    private static LeaseState nextState(LeaseState previous, long offset, LeaseRecord leaseRecord, LeaseEffect effect) {
         return switch (effect) {
-            case REJECTED -> before.withLastRecordOffset(offset);
-            case UNDETERMINED -> new LeaseState(Knowledge.UNDETERMINED, 0, null, 0, offset);
-            case ACCEPTED -> accepted(offset, leaseRecord);
+            case REJECTED -> previous.withLastRecordOffset(offset);
+            case UNDETERMINED -> new LeaseState(Status.UNDETERMINED, 0, null, 0, offset);
+            case ACCEPTED -> acceptedState(offset, leaseRecord);
         };
     }
 
-    private static LeaseState accepted(long offset, LeaseRecord leaseRecord) {
+    private static LeaseState acceptedState(long offset, LeaseRecord leaseRecord) {
         long number = leaseRecord.action() == LeaseAction.CLAIM ? offset : leaseRecord.fencingNumber();
-        Knowledge knowledge = leaseRecord.action() == LeaseAction.RELEASE ? Knowledge.RELEASED : Knowledge.HELD;
-        return new LeaseState(knowledge, number, leaseRecord.holder(), leaseRecord.incarnation(), offset);
+        Status status = leaseRecord.action() == LeaseAction.RELEASE ? Status.RELEASED : Status.HELD;
+        return new LeaseState(status, number, leaseRecord.holder(), leaseRecord.incarnation(), offset);
     }
 }
--- a/core/src/main/java/org/jasminehub/core/lease/OrderVerdict.java
+++ b/core/src/main/java/org/jasminehub/core/lease/OrderVerdict.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.lease;
 
-/** Whether an agent takes an order. */
+/** The decision of an agent on an order. */
 public enum OrderVerdict {
-    /** It does. */
+    /** The order is accepted. */
     ACCEPTED,
-    /** It does not know the present fencing number yet; the sender may try again. */
+    /** The agent does not know the lowest valid fencing number yet; the sender may retry. */
     NUMBER_UNKNOWN,
-    /** The order's number is lower than one already in use. */
+    /** The fencing number of the order is lower than the lowest valid one. */
     NUMBER_OLD,
-    /** The order is meant for another incarnation of the agent. */
+    /** The order is addressed to another incarnation of the agent. */
     OTHER_INCARNATION
 }
--- a/core/src/main/java/org/jasminehub/core/lease/ShardId.java
+++ b/core/src/main/java/org/jasminehub/core/lease/ShardId.java
@@ -2,9 +2,9 @@
 
 import org.jasminehub.core.internal.Checks;
 
-/** The name of a share of control work that one instance does at a time. */
+/** The name of a shard: a set of groups of ranks that is controlled by one instance at a time. */
 public record ShardId(String value) implements Comparable<ShardId> {
-    /** Creates a name; it must not be blank. */
+    /** Creates a name, which must not be blank. */
     public ShardId {
         Checks.notBlank("shard", value);
     }
--- a/core/src/main/java/org/jasminehub/core/lease/ShardPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/lease/ShardPolicy.java
@@ -7,13 +7,15 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Assigns groups of ranks to a fixed number of shards, so that the log carries renewals per shard and not per group.
+ * Assigns groups of ranks to a fixed number of shards.
+ *
+ * <p>Leases are held per shard, so the number of renewals in the log does not grow with the number of groups.
  *
  * <pre>{@code
  * ShardId shard = new ShardPolicy(16).shardOf("group-17");
  * }</pre>
  *
- * <p>Immutable. All processes must use the same number.
+ * <p>Immutable. All processes must use the same number of shards.
  */
 public final class ShardPolicy {
     private final int shardCount;
@@ -23,7 +25,7 @@
         this.shardCount = (int) Checks.positive("shardCount", shardCount);
     }
 
-    /** Returns the shard that controls {@code group}. */
+    /** Returns the shard that {@code group} is assigned to. */
     public ShardId shardOf(String group) {
         long hash =
                 Hashing.murmur3_128().hashString(group, StandardCharsets.UTF_8).asLong();
--- a/core/src/main/java/org/jasminehub/core/lease/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/lease/package-info.java
@@ -1,4 +1,4 @@
-/** Which instance holds the lease of each shard of control work, and which orders an agent takes. */
+/** Leases that give one instance at a time control of a shard, and fencing of the orders sent to agents. */
 @NullMarked
 package org.jasminehub.core.lease;
 
--- a/core/src/main/java/org/jasminehub/core/membership/Hearsay.java
+++ b/core/src/main/java/org/jasminehub/core/membership/GossipBuffer.java
@@ -8,39 +8,39 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The new facts that this instance still passes on with its heartbeats.
+ * Buffer of new member facts that this instance still has to send to peers with its heartbeats.
  *
- * <p>Each fact is sent a limited number of times, the least sent first, so that traffic follows the number of changes
- * and not the number of members. What a peer misses in this way it finds by comparing digests.
+ * <p>Each fact is sent a limited number of times, the least often sent first, so that traffic grows with the number of
+ * changes and not with the number of members. A peer that misses a fact obtains it by comparing digests.
  *
  * <p>Not safe for use by several threads.
  */
-public final class Hearsay {
+public final class GossipBuffer {
     private final int sendsPerFact;
     private final Map<InstanceId, Pending> pending = new HashMap<>();
 
-    /** Creates an empty buffer that gives each fact out {@code sendsPerFact} times. */
-    public Hearsay(int sendsPerFact) {
+    /** Creates an empty buffer that returns each fact {@code sendsPerFact} times. */
+    public GossipBuffer(int sendsPerFact) {
         this.sendsPerFact = (int) Checks.positive("sendsPerFact", sendsPerFact);
     }
 
-    /** Adds a fact that was news here; it replaces an older one of the same instance. */
+    /** Adds a fact that was new to this instance; it replaces an earlier fact about the same member. */
     public void add(MemberFact fact) {
         pending.put(fact.id(), new Pending(fact, 0));
     }
 
-    /** Returns at most {@code maxFacts} facts for one message and counts them as sent. */
+    /** Returns up to {@code maxFacts} facts for the next message and counts them as sent. */
     public List<MemberFact> next(int maxFacts) {
         List<Pending> chosen = pending.values().stream()
                 .sorted(Comparator.comparingInt(Pending::sends)
                         .thenComparing(entry -> entry.fact().id()))
                 .limit(maxFacts)
                 .toList();
-        chosen.forEach(this::countSend);
+        chosen.forEach(this::recordSend);
         return chosen.stream().map(Pending::fact).toList();
     }
 
-    private void countSend(Pending entry) {
+    private void recordSend(Pending entry) {
         int sends = entry.sends() + 1;
         if (sends >= sendsPerFact) {
             pending.remove(entry.fact().id());
--- a/core/src/main/java/org/jasminehub/core/membership/HeartbeatRing.java
+++ b/core/src/main/java/org/jasminehub/core/membership/HeartbeatRing.java
@@ -10,11 +10,12 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Chooses which peers an instance sends heartbeats to.
+ * Chooses the peers that an instance watches and exchanges heartbeats with.
  *
- * <p>Instances stand on a ring in the order of a hash of their names; each watches a few others at distances that grow
- * geometrically. So each is also watched by as many, news crosses the ring in a number of hops that grows with the
- * logarithm of its size, and neither state nor traffic grows with the size of the system.
+ * <p>Instances are ordered on a ring by a hash of their names, and each watches a few others at geometrically
+ * increasing distances. Each instance is therefore watched by the same number of others, facts spread to all instances
+ * in a number of hops that is logarithmic in the size of the ring, and neither the state nor the traffic of an instance
+ * grows with the size of the system.
  *
  * <p>Immutable.
  */
@@ -26,44 +27,44 @@
         this.watchCount = (int) Checks.positive("watchCount", watchCount);
     }
 
-    /** Returns whom {@code self} watches among {@code all}. */
+    /** Returns the members of {@code all} that {@code self} watches. */
     public List<InstanceId> watchedBy(InstanceId self, Collection<InstanceId> all) {
-        Place own = Place.of(self);
-        List<Place> others = all.stream()
+        RingPosition own = RingPosition.of(self);
+        List<RingPosition> others = all.stream()
                 .filter(id -> !id.equals(self))
-                .map(Place::of)
+                .map(RingPosition::of)
                 .sorted()
                 .toList();
-        int next =
-                (int) others.stream().filter(place -> place.compareTo(own) < 0).count();
+        int next = (int)
+                others.stream().filter(position -> position.compareTo(own) < 0).count();
         return distances(others.size())
                 .mapToObj(distance ->
                         others.get((next + distance - 1) % others.size()).id())
                 .toList();
     }
 
-    /** Returns different distances from 1 to {@code otherCount}, each about as many times the one before. */
+    /** Returns distinct, increasing distances from 1 to {@code otherCount} with an approximately constant ratio. */
     private IntStream distances(int otherCount) {
         double factor = Math.pow(otherCount + 1.0, 1.0 / watchCount);
         int[] distances = new int[Math.min(watchCount, otherCount)];
         for (int i = 0; i < distances.length; i++) {
-            int wanted = (int) Math.round(Math.pow(factor, i));
-            int lowest = i == 0 ? 1 : distances[i - 1] + 1;
-            distances[i] = Math.min(Math.max(wanted, lowest), otherCount - distances.length + i + 1);
+            int ideal = (int) Math.round(Math.pow(factor, i));
+            int minimum = i == 0 ? 1 : distances[i - 1] + 1;
+            distances[i] = Math.min(Math.max(ideal, minimum), otherCount - distances.length + i + 1);
         }
         return Arrays.stream(distances);
     }
 
-    private record Place(long hash, InstanceId id) implements Comparable<Place> {
-        static Place of(InstanceId id) {
+    private record RingPosition(long hash, InstanceId id) implements Comparable<RingPosition> {
+        static RingPosition of(InstanceId id) {
             long hash = Hashing.murmur3_128()
                     .hashString(id.value(), StandardCharsets.UTF_8)
                     .asLong();
-            return new Place(hash, id);
+            return new RingPosition(hash, id);
         }
 
         @Override
-        public int compareTo(Place other) {
+        public int compareTo(RingPosition other) {
             int byHash = Long.compare(hash, other.hash);
             return byHash != 0 ? byHash : id.compareTo(other.id);
         }
--- a/core/src/main/java/org/jasminehub/core/membership/ListedMembers.java
+++ b/core/src/main/java/org/jasminehub/core/membership/ListedMembers.java
@@ -8,14 +8,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The members as the platform's list showed them, as far as it was obeyed.
+ * The members according to the platform's list, except for removals that were not permitted.
  *
- * <p>The list knows no incarnations. Where it turns a member from live to leaving, that is held against the incarnation
- * known at the time for good. Where it is not known which incarnation the list means, leaving is held against the first
- * one met, until the list shows the member as live. A higher incarnation is never concerned.
+ * <p>The list does not contain incarnations. If it changes a member from live to leaving, the incarnation known at that
+ * time counts as leaving permanently. If the incarnation is not known, or the member was not live before, the leaving
+ * state applies only until the list shows the member as live again; if no incarnation is known, it is bound to the
+ * first one that is reported. A leaving state never applies to a higher incarnation.
  */
 final class ListedMembers {
-    private static final long ANY_INCARNATION = 0;
+    private static final long UNKNOWN_INCARNATION = 0;
 
     private final Map<InstanceId, Member> members = new HashMap<>();
     private final Map<InstanceId, Leaving> leaving = new HashMap<>();
@@ -28,30 +29,31 @@
         return members.values();
     }
 
-    /** Takes a member that the list shows; returns whether it is new. */
+    /** Stores a member that the list shows and returns whether it is new. */
     boolean put(Member member) {
         return members.put(member.id(), member) == null;
     }
 
-    /** Marks a member that the list shows as leaving; {@code wasLive} tells whether it was live here until now. */
+    /** Marks a member that the list shows as leaving; {@code wasLive} is whether the view had it as live until now. */
     void markLeaving(InstanceId id, long knownIncarnation, boolean wasLive) {
-        boolean isForGood = wasLive && knownIncarnation != ANY_INCARNATION;
+        boolean isPermanent = wasLive && knownIncarnation != UNKNOWN_INCARNATION;
         @Nullable Leaving before = leaving.get(id);
-        if (before == null || (isForGood && before.incarnation() < knownIncarnation)) {
-            leaving.put(id, new Leaving(knownIncarnation, isForGood));
+        if (before == null || (isPermanent && before.incarnation() < knownIncarnation)) {
+            leaving.put(id, new Leaving(knownIncarnation, isPermanent));
         }
     }
 
-    /** Takes back a leaving state that may have meant an earlier incarnation. */
+    /** Clears a leaving state that is not permanent, because it may refer to an earlier incarnation. */
     void markLive(InstanceId id) {
         @Nullable Leaving known = leaving.get(id);
-        if (known != null && !known.isForGood()) {
+        if (known != null && !known.isPermanent()) {
             leaving.remove(id);
         }
     }
 
-    void bindLeaving(InstanceId id, long incarnation) {
-        leaving.replace(id, new Leaving(ANY_INCARNATION, false), new Leaving(incarnation, false));
+    /** Binds a leaving state for an unknown incarnation to {@code incarnation}. */
+    void bindLeavingToIncarnation(InstanceId id, long incarnation) {
+        leaving.replace(id, new Leaving(UNKNOWN_INCARNATION, false), new Leaving(incarnation, false));
     }
 
     boolean isLeaving(InstanceId id, long incarnation) {
@@ -64,10 +66,10 @@
         markLive(id);
     }
 
-    /** Forgets what is left of a member that was removed. */
+    /** Deletes the leaving state that was retained for a removed member. */
     void forget(InstanceId id) {
         leaving.remove(id);
     }
 
-    private record Leaving(long incarnation, boolean isForGood) {}
+    private record Leaving(long incarnation, boolean isPermanent) {}
 }
--- a/core/src/main/java/org/jasminehub/core/membership/Member.java
+++ b/core/src/main/java/org/jasminehub/core/membership/Member.java
@@ -6,16 +6,16 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * An instance as the platform's list shows it.
+ * An instance of the system according to the platform's list.
  *
- * @param id its name
- * @param role what it does
- * @param state whether it takes new work
- * @param failureDomain the set of instances it tends to fail with
+ * @param id the name of the instance
+ * @param role the role of the instance
+ * @param state whether it accepts new work
+ * @param failureDomain the failure domain that it belongs to
  * @param host its IP address
- * @param wirePort the port on which it talks to other processes of the system
- * @param callerPort the port on which it takes callers' requests, or 0 for an agent
- * @param serves what the endpoint beside an agent serves; empty for an entry instance
+ * @param wirePort the port for connections from other processes of the system
+ * @param callerPort the port for requests of callers, or 0 for an agent
+ * @param serves the targets that the endpoint of an agent serves; empty for an entry instance
  */
 public record Member(
         InstanceId id,
@@ -28,7 +28,7 @@
         List<Target> serves) {
     private static final int MAX_PORT = 65_535;
 
-    /** Creates a checked member. */
+    /** Creates a member and validates its components. */
     public Member {
         Checks.notBlank("host", host);
         Checks.inRange("wirePort", wirePort, 0, MAX_PORT);
@@ -36,12 +36,12 @@
         serves = List.copyOf(serves);
     }
 
-    /** Tells whether it takes new work. */
+    /** Returns whether this member accepts new work. */
     public boolean isLive() {
         return state == MemberState.LIVE;
     }
 
-    /** Returns the same member in another state. */
+    /** Returns a copy of this member with another state. */
     public Member withState(MemberState newState) {
         return new Member(id, role, newState, failureDomain, host, wirePort, callerPort, serves);
     }
--- a/core/src/main/java/org/jasminehub/core/membership/MemberContact.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberContact.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.membership;
 
-/** What this instance's own messages say of a member. */
+/** Whether this instance receives messages from a member. */
 public enum MemberContact {
-    /** This instance does not watch it. */
+    /** This instance does not watch the member. */
     UNWATCHED,
-    /** It was heard recently. */
+    /** A message from the member was received recently. */
     HEARD,
-    /** It is watched and was not heard for too long, or its link broke. */
+    /** The member is watched, but its link broke or no message was received within the configured time. */
     SILENT
 }
--- a/core/src/main/java/org/jasminehub/core/membership/MemberFact.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberFact.java
@@ -4,23 +4,23 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What instances tell each other of an instance: which incarnation of it was met and whether that one is leaving.
+ * The incarnation and state of a member, as exchanged between instances.
  *
  * <p>Facts form a join semilattice: a higher incarnation replaces a lower one, and within one incarnation leaving
- * replaces live and never the other way. So it does not matter in which order, how often or along which way facts
- * arrive.
+ * replaces live, never the reverse. The result of merging therefore does not depend on the order in which facts arrive,
+ * on the path they take or on duplicates.
  *
- * @param id the instance
- * @param incarnation grows with every start of its process
- * @param state whether this incarnation takes new work
+ * @param id the member
+ * @param incarnation the incarnation of the member, which increases with every start of its process
+ * @param state whether this incarnation accepts new work
  */
 public record MemberFact(InstanceId id, long incarnation, MemberState state) {
-    /** Creates a checked fact. */
+    /** Creates a fact and validates its components. */
     public MemberFact {
         Checks.positive("incarnation", incarnation);
     }
 
-    /** Returns the newer of both facts, which must be of one instance. */
+    /** Returns the newer of this and the other fact, which must be about the same member. */
     public MemberFact merge(MemberFact other) {
         Checks.that(id.equals(other.id), "instance", other.id, id.value());
         if (incarnation != other.incarnation) {
--- a/core/src/main/java/org/jasminehub/core/membership/MemberFacts.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberFacts.java
@@ -13,13 +13,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The newest fact of each instance.
+ * The newest known fact about each member.
  *
- * <p>Two holders compare digests of buckets and exchange only the buckets that differ.
+ * <p>Members are divided into buckets. Two instances compare the digests of their buckets and exchange only the facts
+ * of the buckets that differ.
  *
  * <pre>{@code
  * if (facts.merge(fact)) {
- *     hearsay.add(fact);
+ *     gossip.add(fact);
  * }
  * }</pre>
  *
@@ -31,7 +32,7 @@
     private final Map<InstanceId, MemberFact> facts = new HashMap<>();
     private final long[] digests = new long[BUCKET_COUNT];
 
-    /** Takes a fact from any source; returns whether it brought something new. */
+    /** Merges a fact and returns whether it changed the known facts. */
     public boolean merge(MemberFact fact) {
         @Nullable MemberFact known = facts.get(fact.id());
         MemberFact merged = known == null ? fact : known.merge(fact);
@@ -39,14 +40,14 @@
             return false;
         }
         if (known != null) {
-            toggle(known);
+            toggleInDigest(known);
         }
-        toggle(merged);
+        toggleInDigest(merged);
         facts.put(fact.id(), merged);
         return true;
     }
 
-    /** Returns the newest fact of {@code id}. */
+    /** Returns the newest fact about {@code id}. */
     public Optional<MemberFact> get(InstanceId id) {
         return Optional.ofNullable(facts.get(id));
     }
@@ -56,30 +57,31 @@
         return List.copyOf(facts.values());
     }
 
-    /** Drops the facts of the instances that {@code isObsolete}. */
+    /** Removes the facts about the members for which {@code isObsolete} returns true. */
     public void removeIf(Predicate<InstanceId> isObsolete) {
         List<MemberFact> obsolete = facts.values().stream()
                 .filter(fact -> isObsolete.test(fact.id()))
                 .toList();
         for (MemberFact fact : obsolete) {
-            toggle(fact);
+            toggleInDigest(fact);
             facts.remove(fact.id());
         }
     }
 
-    /** Returns one digest for each bucket; equal facts give equal digests. */
+    /** Returns the digest of each bucket; equal facts result in equal digests. */
     public List<Long> digests() {
         return Arrays.stream(digests).boxed().toList();
     }
 
-    /** Returns the facts of the buckets whose digests differ from {@code others}. */
-    public List<MemberFact> whereDifferent(List<Long> others) {
+    /** Returns the facts in the buckets whose digests differ from {@code others}. */
+    public List<MemberFact> inDifferingBuckets(List<Long> others) {
         return facts.values().stream()
                 .filter(fact -> !others.get(bucket(fact)).equals(digests[bucket(fact)]))
                 .toList();
     }
 
-    private void toggle(MemberFact fact) {
+    /** Adds the fact to the digest of its bucket or removes it; XOR makes both operations the same. */
+    private void toggleInDigest(MemberFact fact) {
         String text = fact.id() + " " + fact.incarnation() + " " + fact.state();
         digests[bucket(fact)] ^=
                 Hashing.murmur3_128().hashString(text, StandardCharsets.UTF_8).asLong();
--- a/core/src/main/java/org/jasminehub/core/membership/MemberRole.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberRole.java
@@ -1,9 +1,9 @@
 package org.jasminehub.core.membership;
 
-/** What an instance of the system does. */
+/** The role of an instance of the system. */
 public enum MemberRole {
-    /** Takes callers' requests. */
+    /** Accepts requests of callers. */
     ENTRY,
-    /** Sits beside an endpoint. */
+    /** Runs beside an endpoint and relays requests to it. */
     AGENT
 }
--- a/core/src/main/java/org/jasminehub/core/membership/MemberState.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberState.java
@@ -1,9 +1,9 @@
 package org.jasminehub.core.membership;
 
-/** Whether an instance takes new work. */
+/** Whether an instance accepts new work. */
 public enum MemberState {
-    /** It takes new work. */
+    /** The instance accepts new work. */
     LIVE,
-    /** It finishes what it has and takes no new work. */
+    /** The instance completes the work it has but accepts no new work. */
     LEAVING
 }
--- a/core/src/main/java/org/jasminehub/core/membership/MemberStatus.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberStatus.java
@@ -1,15 +1,15 @@
 package org.jasminehub.core.membership;
 
 /**
- * What this instance makes of a member.
+ * The status of a member as seen by this instance.
  *
- * @param member the member, its state as merged from all sources
- * @param incarnation the newest incarnation met, 0 where none is known yet
- * @param contact what this instance's own messages say of it
+ * @param member the member, with the state merged from all sources
+ * @param incarnation the newest known incarnation, or 0 if none is known yet
+ * @param contact whether this instance receives messages from the member
  */
 public record MemberStatus(Member member, long incarnation, MemberContact contact) {
-    /** Tells whether new work may be sent to it. */
-    public boolean takesNewWork() {
+    /** Returns whether new work may be sent to the member. */
+    public boolean acceptsNewWork() {
         return member.isLive() && contact != MemberContact.SILENT;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/membership/MembershipEventKind.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MembershipEventKind.java
@@ -3,26 +3,26 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The events of membership. */
+/** Event kinds for membership. */
 public enum MembershipEventKind implements EventKind {
-    /** A member takes no new work. */
+    /** A member stopped accepting new work. */
     MEMBER_LEAVING(3000, Severity.INFO, "An incarnation of a member takes no new work from now on."),
-    /** A member came back. */
+    /** A leaving member accepts new work again. */
     MEMBER_RETURNED(3001, Severity.INFO, "A member that was leaving is back with a new incarnation."),
-    /** A watched member is not heard. */
+    /** No messages are received from a watched member. */
     MEMBER_SILENT(3002, Severity.WARNING, "A watched member was not heard for too long or its link broke."),
-    /** A silent member is heard again. */
+    /** Messages are received again from a silent member. */
     MEMBER_HEARD(3003, Severity.INFO, "A member that was silent is heard again."),
-    /** The list shows a new member. */
+    /** The platform's list shows a new member. */
     MEMBER_LISTED(3004, Severity.INFO, "The platform's list shows a member for the first time."),
-    /** The list's absence of a member was obeyed. */
+    /** A member was removed because it is missing from the platform's list. */
     MEMBER_UNLISTED(3005, Severity.INFO, "A member that the platform's list no longer shows was dropped."),
-    /** The list lost members that are heard, or too many at once. */
+    /** The list lacks members that still send messages, or too many members at once. */
     LIST_DOUBTED(
             3010,
             Severity.WARNING,
             "The platform's list takes away members that are heard, or more than is believed at once."),
-    /** The list is believed again. */
+    /** No member is retained against the list any longer. */
     LIST_BELIEVED(3011, Severity.INFO, "The platform's list no longer takes away members that are kept here.");
 
     private final int number;
--- a/core/src/main/java/org/jasminehub/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MembershipSettings.java
@@ -3,20 +3,21 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The times and bounds of a {@link MembershipView}.
+ * Settings of a {@link MembershipView}.
  *
- * @param listDoubt when a list that takes members away is believed
- * @param silenceMillis after which time a watched member counts as silent
- * @param factRetentionMillis how long the fact of an unlisted member is kept, longer than regions lose each other
- * @param sendsPerFact how often a new fact is passed on
+ * @param listDoubt the limits on removing members that are missing from the platform's list
+ * @param silenceMillis the time without a message after which a watched member counts as silent
+ * @param factRetentionMillis how long the fact about an unlisted member is kept; must be longer than a loss of
+ *     connection between regions lasts
+ * @param sendsPerFact the number of times a new fact is sent to peers
  */
 public record MembershipSettings(
-        ListDoubtRule listDoubt, long silenceMillis, long factRetentionMillis, int sendsPerFact) {
+        ListRemovalRule listDoubt, long silenceMillis, long factRetentionMillis, int sendsPerFact) {
     /** The settings in use. */
     public static final MembershipSettings STANDARD =
-            new MembershipSettings(ListDoubtRule.STANDARD, 6_000, 24 * 3_600_000L, 3);
+            new MembershipSettings(ListRemovalRule.STANDARD, 6_000, 24 * 3_600_000L, 3);
 
-    /** Creates checked settings. */
+    /** Creates settings and validates them. */
     public MembershipSettings {
         Checks.positive("silenceMillis", silenceMillis);
         Checks.positive("factRetentionMillis", factRetentionMillis);
--- a/core/src/main/java/org/jasminehub/core/membership/MembershipSource.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MembershipSource.java
@@ -1,8 +1,8 @@
 package org.jasminehub.core.membership;
 
-/** Where this instance learnt something of a member. */
+/** The source of information about a member. */
 public enum MembershipSource {
-    /** Its own link to the member. */
+    /** The direct link between this instance and the member. */
     LINK,
     /** A peer. */
     PEER,
--- a/core/src/main/java/org/jasminehub/core/membership/MembershipView.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MembershipView.java
@@ -12,17 +12,18 @@
 import org.jasminehub.core.identity.InstanceId;
 
 /**
- * What one instance knows of the others, merged from its links, heartbeats, peers and the platform's list.
+ * The state of all members as seen by one instance, merged from direct links, peers and the platform's list.
  *
- * <p>The list says who exists and where. Links, heartbeats and peers say which incarnation runs and whether it is
- * leaving; these facts only move forward, so a lagging list or a late fact never brings a leaving incarnation back.
- * Silence is an opinion of this instance alone: it keeps work away and is never passed on, so regions that cannot reach
- * each other do not declare each other gone.
+ * <p>The list determines which members exist and their addresses. Links and peers report the running incarnation of a
+ * member and whether it is leaving. These facts only move forward, so a lagging list or a delayed fact never makes a
+ * leaving incarnation live again. Silence is a local observation: no work is sent to a silent member, but the
+ * observation is not sent to peers, so that regions without a connection to each other do not remove each other's
+ * members.
  *
  * <pre>{@code
- * view.listRead(members, nowMillis);
- * view.linkHeard(new MemberFact(id, incarnation, MemberState.LEAVING), nowMillis);
- * List<MemberStatus> usable = view.members(nowMillis).stream().filter(MemberStatus::takesNewWork).toList();
+ * view.onListRead(members, nowMillis);
+ * view.onDirectFact(new MemberFact(id, incarnation, MemberState.LEAVING), nowMillis);
+ * List<MemberStatus> usable = view.members(nowMillis).stream().filter(MemberStatus::acceptsNewWork).toList();
  * }</pre>
  *
  * <p>Not safe for use by several threads.
@@ -32,24 +33,24 @@
     private final EventSink events;
     private final ListedMembers listed = new ListedMembers();
     private final MemberFacts facts = new MemberFacts();
-    private final Hearsay hearsay;
-    private final ContactTable contacts;
-    private final ListDoubtPolicy doubt;
+    private final GossipBuffer gossip;
+    private final FailureDetector failureDetector;
+    private final ListRemovalPolicy removals;
     private final Map<InstanceId, Long> unlistedSinceMillis = new HashMap<>();
-    private final Set<InstanceId> silent = new HashSet<>();
-    private boolean isListDoubted;
+    private final Set<InstanceId> reportedSilent = new HashSet<>();
+    private boolean isListDoubtReported;
 
-    /** Creates a view that knows nothing. */
+    /** Creates an empty view. */
     public MembershipView(MembershipSettings settings, EventSink events) {
         this.settings = settings;
         this.events = events;
-        this.hearsay = new Hearsay(settings.sendsPerFact());
-        this.contacts = new ContactTable(settings.silenceMillis());
-        this.doubt = new ListDoubtPolicy(settings.listDoubt());
+        this.gossip = new GossipBuffer(settings.sendsPerFact());
+        this.failureDetector = new FailureDetector(settings.silenceMillis());
+        this.removals = new ListRemovalPolicy(settings.listDoubt());
     }
 
-    /** Takes the platform's list as it was read now. */
-    public void listRead(List<Member> list, long nowMillis) {
+    /** Applies a newly read list of the platform. */
+    public void onListRead(List<Member> list, long nowMillis) {
         Map<InstanceId, Member> shown =
                 list.stream().collect(Collectors.toMap(Member::id, Function.identity(), (one, other) -> one));
         Set<InstanceId> live = listed.all().stream()
@@ -58,82 +59,84 @@
                 .collect(Collectors.toSet());
         Set<InstanceId> missing =
                 live.stream().filter(id -> !isLiveIn(shown, id)).collect(Collectors.toSet());
-        Set<InstanceId> unheard = missing.stream()
-                .filter(id -> shown.containsKey(id) || contacts.contact(id, nowMillis) != MemberContact.HEARD)
+        // A member that the list omits is kept while it still sends messages to this instance.
+        Set<InstanceId> removable = missing.stream()
+                .filter(id -> shown.containsKey(id) || failureDetector.contact(id, nowMillis) != MemberContact.HEARD)
                 .collect(Collectors.toSet());
-        Set<InstanceId> obeyed = doubt.obeyed(unheard, live.size(), nowMillis);
-        announceDoubt(missing.size(), live.size(), obeyed.size() < missing.size());
-        shown.values().forEach(member -> show(member, live, obeyed));
-        dropUnlisted(shown.keySet(), live, obeyed);
-        forgetOldFacts(nowMillis);
+        Set<InstanceId> permitted = removals.permittedRemovals(removable, live.size(), nowMillis);
+        emitListTrustChange(missing.size(), live.size(), permitted.size() < missing.size());
+        shown.values().forEach(member -> applyListedMember(member, live, permitted));
+        removeUnlisted(shown.keySet(), live, permitted);
+        expireFacts(nowMillis);
     }
 
-    /** Takes what a member said of itself on a link of this instance, in a greeting or a heartbeat. */
-    public void linkHeard(MemberFact fact, long nowMillis) {
+    /** Applies a fact that a member reported about itself in a greeting or heartbeat on a direct link. */
+    public void onDirectFact(MemberFact fact, long nowMillis) {
         merge(fact, MembershipSource.LINK);
         boolean isNewest = incarnationOf(fact.id()) == fact.incarnation();
         if (isNewest) {
-            contacts.heard(fact.id(), nowMillis);
+            failureDetector.recordContact(fact.id(), nowMillis);
         }
     }
 
-    /** Notes that the link to a watched member broke. */
-    public void linkBroken(InstanceId id) {
-        contacts.broken(id);
+    /** Called when the link to a watched member broke. */
+    public void onLinkBroken(InstanceId id) {
+        failureDetector.recordBrokenLink(id);
     }
 
-    /** Takes what a peer says of a member. */
-    public void peerHeard(MemberFact fact) {
+    /** Applies a fact about a member that was received from a peer. */
+    public void onPeerFact(MemberFact fact) {
         merge(fact, MembershipSource.PEER);
     }
 
-    /** Watches exactly these members from now on. */
+    /** Replaces the set of watched members. */
     public void watch(Set<InstanceId> ids, long nowMillis) {
-        contacts.watch(ids, nowMillis);
+        failureDetector.watch(ids, nowMillis);
     }
 
-    /** Reports members that fell silent or are heard again since the last call. */
+    /** Emits events for members that became silent or sent messages again since the last call. */
     public void checkContacts(long nowMillis) {
-        silent.retainAll(contacts.watched());
-        for (InstanceId id : contacts.watched()) {
-            boolean isSilent = contacts.contact(id, nowMillis) == MemberContact.SILENT;
-            if (isSilent && silent.add(id)) {
+        reportedSilent.retainAll(failureDetector.watched());
+        for (InstanceId id : failureDetector.watched()) {
+            boolean isSilent = failureDetector.contact(id, nowMillis) == MemberContact.SILENT;
+            if (isSilent && reportedSilent.add(id)) {
                 emit(MembershipEventKind.MEMBER_SILENT, id, MembershipSource.LINK);
             }
-            if (!isSilent && silent.remove(id)) {
+            if (!isSilent && reportedSilent.remove(id)) {
                 emit(MembershipEventKind.MEMBER_HEARD, id, MembershipSource.LINK);
             }
         }
     }
 
-    /** Returns what is made of {@code id}, if the list showed it. */
+    /** Returns the status of {@code id}, or empty if it is not a listed member. */
     public Optional<MemberStatus> status(InstanceId id, long nowMillis) {
         return listed.get(id).map(member -> status(member, nowMillis));
     }
 
-    /** Returns all members that the list showed, as far as its removals were obeyed. */
+    /** Returns all listed members, including those whose removal was not permitted. */
     public List<MemberStatus> members(long nowMillis) {
         return listed.all().stream().map(member -> status(member, nowMillis)).toList();
     }
 
-    /** Returns at most {@code maxFacts} facts to pass on with the next message to a peer. */
-    public List<MemberFact> nextHearsay(int maxFacts) {
-        return hearsay.next(maxFacts);
+    /** Returns up to {@code maxFacts} facts to send with the next message to a peer. */
+    public List<MemberFact> nextGossip(int maxFacts) {
+        return gossip.next(maxFacts);
     }
 
-    /** Returns the digests by which a peer finds out what it misses. */
+    /** Returns the digests with which a peer determines the facts that it is missing. */
     public List<Long> digests() {
         return facts.digests();
     }
 
-    /** Returns the facts that a peer with {@code digests} may miss. */
+    /** Returns the facts that a peer with {@code digests} may be missing. */
     public List<MemberFact> factsFor(List<Long> digests) {
-        return facts.whereDifferent(digests);
+        return facts.inDifferingBuckets(digests);
     }
 
     private MemberStatus status(Member member, long nowMillis) {
         InstanceId id = member.id();
-        return new MemberStatus(member.withState(stateOf(id)), incarnationOf(id), contacts.contact(id, nowMillis));
+        return new MemberStatus(
+                member.withState(stateOf(id)), incarnationOf(id), failureDetector.contact(id, nowMillis));
     }
 
     private MemberState stateOf(InstanceId id) {
@@ -153,16 +156,16 @@
         if (!facts.merge(fact)) {
             return;
         }
-        hearsay.add(facts.get(fact.id()).orElse(fact));
-        listed.bindLeaving(fact.id(), incarnationOf(fact.id()));
-        announceState(fact.id(), before, source);
+        gossip.add(facts.get(fact.id()).orElse(fact));
+        listed.bindLeavingToIncarnation(fact.id(), incarnationOf(fact.id()));
+        emitStateChange(fact.id(), before, source);
     }
 
     private static boolean isLiveIn(Map<InstanceId, Member> shown, InstanceId id) {
         return shown.containsKey(id) && shown.get(id).isLive();
     }
 
-    private void show(Member member, Set<InstanceId> live, Set<InstanceId> obeyed) {
+    private void applyListedMember(Member member, Set<InstanceId> live, Set<InstanceId> permitted) {
         InstanceId id = member.id();
         if (listed.put(member)) {
             emit(MembershipEventKind.MEMBER_LISTED, id, MembershipSource.LIST);
@@ -171,17 +174,17 @@
         boolean wasLive = live.contains(id);
         if (member.isLive()) {
             listed.markLive(id);
-        } else if (!wasLive || obeyed.contains(id)) {
+        } else if (!wasLive || permitted.contains(id)) {
             listed.markLeaving(id, incarnationOf(id), wasLive);
         }
-        announceState(id, before, MembershipSource.LIST);
+        emitStateChange(id, before, MembershipSource.LIST);
     }
 
-    private void dropUnlisted(Set<InstanceId> shown, Set<InstanceId> live, Set<InstanceId> obeyed) {
+    private void removeUnlisted(Set<InstanceId> shown, Set<InstanceId> live, Set<InstanceId> permitted) {
         List<InstanceId> gone = listed.all().stream()
                 .map(Member::id)
                 .filter(id -> !shown.contains(id))
-                .filter(id -> !live.contains(id) || obeyed.contains(id))
+                .filter(id -> !live.contains(id) || permitted.contains(id))
                 .toList();
         for (InstanceId id : gone) {
             listed.remove(id);
@@ -189,23 +192,23 @@
         }
     }
 
-    private void forgetOldFacts(long nowMillis) {
+    private void expireFacts(long nowMillis) {
         Set<InstanceId> unlisted = facts.all().stream()
                 .map(MemberFact::id)
                 .filter(id -> listed.get(id).isEmpty())
                 .collect(Collectors.toSet());
         unlistedSinceMillis.keySet().retainAll(unlisted);
         unlisted.forEach(id -> unlistedSinceMillis.putIfAbsent(id, nowMillis));
-        facts.removeIf(id -> isOld(id, nowMillis));
-        unlisted.stream().filter(id -> isOld(id, nowMillis)).forEach(listed::forget);
+        facts.removeIf(id -> isExpired(id, nowMillis));
+        unlisted.stream().filter(id -> isExpired(id, nowMillis)).forEach(listed::forget);
     }
 
-    private boolean isOld(InstanceId id, long nowMillis) {
+    private boolean isExpired(InstanceId id, long nowMillis) {
         long since = unlistedSinceMillis.getOrDefault(id, nowMillis);
         return nowMillis - since > settings.factRetentionMillis();
     }
 
-    private void announceState(InstanceId id, MemberState before, MembershipSource source) {
+    private void emitStateChange(InstanceId id, MemberState before, MembershipSource source) {
         MemberState after = stateOf(id);
         if (before != after) {
             boolean isLeaving = after == MemberState.LEAVING;
@@ -213,10 +216,10 @@
         }
     }
 
-    private void announceDoubt(int missing, int live, boolean isDoubted) {
-        if (isDoubted != isListDoubted) {
-            isListDoubted = isDoubted;
-            events.emit(new ListJudged(
+    private void emitListTrustChange(int missing, int live, boolean isDoubted) {
+        if (isDoubted != isListDoubtReported) {
+            isListDoubtReported = isDoubted;
+            events.emit(new ListTrustChanged(
                     isDoubted ? MembershipEventKind.LIST_DOUBTED : MembershipEventKind.LIST_BELIEVED, missing, live));
         }
     }
--- a/core/src/main/java/org/jasminehub/core/membership/Target.java
+++ b/core/src/main/java/org/jasminehub/core/membership/Target.java
@@ -6,28 +6,28 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What endpoints serve: a model or a plain service; written {@code model/NAME} or {@code service/NAME}.
+ * A model or plain service that endpoints serve, written as {@code model/NAME} or {@code service/NAME}.
  *
- * @param kind whether it is a model or a plain service
- * @param name its name
+ * @param kind whether the target is a model or a plain service
+ * @param name the name of the model or service
  */
 public record Target(TargetKind kind, String name) {
-    /** Creates a checked target. */
+    /** Creates a target and validates its components. */
     public Target {
         Checks.notBlank("target", name);
     }
 
-    /** Returns the target of a model. */
+    /** Returns the target for the model {@code name}. */
     public static Target model(String name) {
         return new Target(TargetKind.MODEL, name);
     }
 
-    /** Returns the target of a plain service. */
+    /** Returns the target for the plain service {@code name}. */
     public static Target service(String name) {
         return new Target(TargetKind.SERVICE, name);
     }
 
-    /** Returns the target that {@code text} names. */
+    /** Parses a target from its text form. */
     @JsonCreator
     public static Target parse(String text) {
         for (TargetKind kind : TargetKind.values()) {
--- a/core/src/main/java/org/jasminehub/core/membership/TargetKind.java
+++ b/core/src/main/java/org/jasminehub/core/membership/TargetKind.java
@@ -1,6 +1,6 @@
 package org.jasminehub.core.membership;
 
-/** The two kinds of work that endpoints take. */
+/** The kinds of targets that endpoints serve. */
 public enum TargetKind {
     /** A model engine. */
     MODEL("model"),
@@ -13,7 +13,7 @@
         this.label = label;
     }
 
-    /** Returns the word that documents use. */
+    /** Returns the name of this kind in documents. */
     public String label() {
         return label;
     }
--- a/core/src/main/java/org/jasminehub/core/membership/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which instances are live, leaving or gone. */
+/** Membership: the instances of the system, their state and the detection of failures. */
 @NullMarked
 package org.jasminehub.core.membership;
 
--- a/core/src/main/java/org/jasminehub/core/time/Clock.java
+++ b/core/src/main/java/org/jasminehub/core/time/Clock.java
@@ -1,7 +1,7 @@
 package org.jasminehub.core.time;
 
 /**
- * Tells the time in milliseconds.
+ * A source of monotonic and wall-clock time in milliseconds.
  *
  * <pre>{@code
  * long startMillis = clock.monotonicMillis();
@@ -9,12 +9,12 @@
  * long elapsedMillis = clock.monotonicMillis() - startMillis;
  * }</pre>
  *
- * <p>Implementations are safe for use by several threads.
+ * <p>Implementations must be thread-safe.
  */
 public interface Clock {
-    /** Returns milliseconds since an arbitrary origin of this process; never goes back. */
+    /** Returns the milliseconds since an arbitrary origin of this process; never decreases. */
     long monotonicMillis();
 
-    /** Returns milliseconds since 1970-01-01T00:00Z; may jump, so it only labels records. */
+    /** Returns the milliseconds since 1970-01-01T00:00Z; may jump, so use it only as a timestamp in records. */
     long wallMillis();
 }
--- a/core/src/main/java/org/jasminehub/core/time/ManualClock.java
+++ b/core/src/main/java/org/jasminehub/core/time/ManualClock.java
@@ -4,7 +4,7 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * A clock that moves only when told to.
+ * A clock that advances only when {@link #advanceMillis} is called.
  *
  * <pre>{@code
  * ManualClock clock = new ManualClock(0);
@@ -16,12 +16,12 @@
 public final class ManualClock implements Clock {
     private final AtomicLong nowMillis;
 
-    /** Creates a clock that shows {@code startMillis}, both as wall and as monotonic time. */
+    /** Creates a clock whose monotonic and wall-clock time are {@code startMillis}. */
     public ManualClock(long startMillis) {
         this.nowMillis = new AtomicLong(startMillis);
     }
 
-    /** Moves the clock forward by {@code millis}, which must not be negative. */
+    /** Advances the clock by {@code millis}, which must not be negative. */
     public void advanceMillis(long millis) {
         Checks.notNegative("millis", millis);
         nowMillis.addAndGet(millis);
--- a/core/src/main/java/org/jasminehub/core/time/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/time/package-info.java
@@ -1,4 +1,4 @@
-/** The clock that decisions read. */
+/** Time sources. */
 @NullMarked
 package org.jasminehub.core.time;
 
--- a/core/src/main/java/org/jasminehub/core/yaml/StrictYamlReader.java
+++ b/core/src/main/java/org/jasminehub/core/yaml/StrictYamlReader.java
@@ -22,7 +22,7 @@
 import org.jasminehub.core.error.InvalidArgumentException;
 
 /**
- * Reads a YAML text into a record, and refuses unknown, missing and repeated keys and values of another type.
+ * Reads YAML into records and rejects unknown, missing and duplicate keys and values of the wrong type.
  *
  * <pre>{@code
  * TeamDocument document = new StrictYamlReader().read(text, TeamDocument.class);
@@ -55,7 +55,7 @@
     /**
      * Returns the record that {@code text} describes.
      *
-     * @throws YamlException if the text is no YAML or does not fit {@code type}
+     * @throws YamlException if the text is not valid YAML or does not match {@code type}
      */
     public <T> T read(String text, Class<T> type) {
         try {
--- a/core/src/main/java/org/jasminehub/core/yaml/YamlFailure.java
+++ b/core/src/main/java/org/jasminehub/core/yaml/YamlFailure.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.yaml;
 
 /**
- * What was wrong in a YAML text.
+ * An error in a YAML text.
  *
- * @param place the path of the key, for example {@code routes[2].deadlineMillis}
- * @param line the line in the text, counted from 1, or 0 where it is not known
- * @param found what stands there
- * @param expected what is allowed there
+ * @param path the path of the key, for example {@code routes[2].deadlineMillis}
+ * @param line the line number, starting at 1, or 0 if it is not known
+ * @param found a description of the value found
+ * @param expected a description of the values allowed
  */
-public record YamlFailure(String place, int line, String found, String expected) {}
+public record YamlFailure(String path, int line, String found, String expected) {}
--- a/core/src/test/java/org/jasminehub/core/address/AddressPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/address/AddressPolicyTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void testLeavingInstanceIsLeftOut() {
+    void testLeavingInstanceIsNotChosen() {
         List<Member> members = new ArrayList<>(sevenInThreeDomains());
         WorkspaceId workspace = new WorkspaceId("agency");
         Member preferred = policy.choose(workspace, members).get(0);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void testLossOfOneInstanceMovesOnlyItsWorkspaces() {
+    void testLossOfOneInstanceAffectsOnlyItsWorkspaces() {
         List<Member> all = sevenInThreeDomains();
         Member lost = all.get(2);
         List<Member> rest = all.stream().filter(member -> !member.equals(lost)).toList();
--- a/core/src/test/java/org/jasminehub/core/address/EndpointSubsetPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/address/EndpointSubsetPolicyTest.java
@@ -21,7 +21,7 @@
     private static final int COUNT = 16;
     private static final int FAR_COUNT = 4;
     private static final InstanceId SELF = new InstanceId("entry-1");
-    /** Domains 0 to 2 are near. */
+    /** Distances under which failure domains 0 to 2 are near. */
     private static final DomainDistance DISTANCE = domain -> number(domain) < 3 ? 0 : 1;
 
     private final EndpointSubsetPolicy policy = new EndpointSubsetPolicy(COUNT, FAR_COUNT);
@@ -53,12 +53,12 @@
     }
 
     @Test
-    void testNumberWatchedDoesNotGrowWithTheNumberOfEndpoints() {
+    void testNumberOfChosenAgentsIsBounded() {
         assertEquals(COUNT, policy.choose(SELF, agents(5_800), DISTANCE).size());
     }
 
     @Test
-    void testNearOnesAreSpreadEvenlyAndFarOnesAreKeptInReserve() {
+    void testNearAgentsAreSpreadEvenlyOverDomainsAndSomeFarAgentsAreIncluded() {
         List<Member> chosen = policy.choose(SELF, agents(5_800), DISTANCE);
         var nearByDomain = chosen.stream()
                 .filter(EndpointSubsetPolicyTest::isNear)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void testFarOnesFillUpWhereNearOnesAreFew() {
+    void testFarAgentsFillTheSetIfThereAreFewNearAgents() {
         List<Member> few = agents(2 * DOMAINS);
         List<Member> chosen = policy.choose(SELF, few, DISTANCE);
         assertEquals(COUNT, chosen.size());
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void testSmallSystemIsWatchedWhole() {
+    void testAllAgentsOfASmallSystemAreChosen() {
         assertEquals(12, policy.choose(SELF, agents(12), DISTANCE).size());
     }
 
--- a/core/src/test/java/org/jasminehub/core/document/DocumentYamlAdapterTest.java
+++ b/core/src/test/java/org/jasminehub/core/document/DocumentYamlAdapterTest.java
@@ -34,7 +34,7 @@
     @Nested
     final class Examples {
         @Test
-        void testCampaignDocumentCoversItsWorkloads() throws IOException {
+        void testPampaCriativaDocumentRoutesItsRequests() throws IOException {
             TeamDocument document = adapter.read(example("pampa-criativa.yaml"));
             assertEquals(10, document.workspaces().size());
             assertEquals(
@@ -55,7 +55,7 @@
         }
 
         @Test
-        void testPastureDocumentCoversItsWorkloads() throws IOException {
+        void testKhorRawdahDocumentRoutesItsRequests() throws IOException {
             TeamDocument document = adapter.read(example("khor-rawdah.yaml"));
             assertEquals(10, document.workspaces().size());
             Target bookings = Target.service("bookings");
@@ -69,28 +69,28 @@
     }
 
     @Nested
-    final class Refuses {
+    final class Rejects {
         @Test
-        void testTextBeyondTheSizeLimit() {
+        void testTextThatExceedsTheSizeLimit() {
             String comment = "# ".repeat(DocumentYamlAdapter.MAX_CHARACTERS);
-            assertEquals("(root)", failureOf(VALID + comment).place());
+            assertEquals("(root)", failureOf(VALID + comment).path());
         }
 
         @Test
-        void testUnknownKeyIsNamedWithItsPlace() {
+        void testUnknownKeyIsReportedWithItsPath() {
             assertTrue(failureOf(VALID.replace("weight: 1,", "weight: 1, wieght: 1,"))
-                    .place()
+                    .path()
                     .contains("workspaces[0].wieght"));
         }
 
         @Test
-        void testWorkspaceThatStandsTwice() {
+        void testDuplicateWorkspace() {
             String line = VALID.lines().toList().get(3) + "\n";
             assertTrue(failureOf(VALID.replace(line, line + line)).getMessage().contains("agency"));
         }
 
         @Test
-        void testValueOutOfRangeIsNamed() {
+        void testValueOutOfRangeIsReported() {
             assertTrue(failureOf(VALID.replace("weight: 1,", "weight: 0,"))
                     .getMessage()
                     .contains("above 0"));
@@ -102,7 +102,7 @@
         }
 
         @Test
-        void testWeightThatIsNoNumber() {
+        void testWeightThatIsNotANumber() {
             failureOf(VALID.replace("skewWeight: 1", "skewWeight: .nan"));
         }
 
@@ -112,7 +112,7 @@
         }
 
         @Test
-        void testAliasesThatMultiply() {
+        void testExponentialAliasExpansion() {
             StringBuilder text = new StringBuilder("a0: &a0 [x, x]\n");
             for (int i = 1; i < 40; i++) {
                 text.append("a")
@@ -128,7 +128,7 @@
     }
 
     @Property(seed = "46", tries = 300)
-    void testDamagedDocumentIsReadOrRefusedButNeverFailsOtherwise(@ForAll long seed) {
+    void testCorruptedDocumentIsReadOrRejectedWithADocumentException(@ForAll long seed) {
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(VALID);
         for (int i = 0; i < 4; i++) {
@@ -139,7 +139,7 @@
             try {
                 adapter.read(text.toString());
             } catch (DocumentException e) {
-                assertTrue(e.place().length() > 0);
+                assertTrue(e.path().length() > 0);
             }
         });
     }
--- a/core/src/test/java/org/jasminehub/core/lease/LeaseRecordCodecTest.java
+++ b/core/src/test/java/org/jasminehub/core/lease/LeaseRecordCodecTest.java
@@ -13,7 +13,7 @@
     private final LeaseRecordCodec codec = new LeaseRecordCodec();
 
     @Test
-    void testRecordIsReadAsItWasWritten() {
+    void testDecodedRecordEqualsEncodedRecord() {
         LeaseRecord written =
                 new LeaseRecord(LeaseAction.RENEW, new ShardId("shard-3"), new InstanceId("entry-7"), 4, 900, 950, -17);
         assertEquals(Optional.of(written), codec.decode(codec.encode(written)));
@@ -31,7 +31,7 @@
                 "{\"type\":\"lease\",\"action\":\"CLAIM\",\"shard\":\"s\",\"holder\":\"entry-1\",\"incarnation\":-1,"
                         + "\"fencingNumber\":0,\"readToOffset\":0,\"nonce\":1}"
             })
-    void testOtherBytesAreNoLeaseRecord(String payload) {
+    void testPayloadThatIsNoValidLeaseRecordIsIgnored(String payload) {
         assertEquals(Optional.empty(), codec.decode(payload.getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/core/src/test/java/org/jasminehub/core/lease/LeaseHistory.java
+++ b/core/src/test/java/org/jasminehub/core/lease/LeaseSimulation.java
@@ -9,18 +9,18 @@
 import java.util.TreeMap;
 import org.jasminehub.core.identity.InstanceId;
 
-/** A random history of instances, a log and an agent, under faults drawn from a seed. */
-final class LeaseHistory {
+/** A simulation of instances, a log and an agent with random faults, reproducible from a seed. */
+final class LeaseSimulation {
     static final ShardId SHARD = new ShardId("shard-0");
     private static final long STEP_MILLIS = 100;
     private static final long RETENTION_MILLIS = 60_000;
     private static final int INSTANCES = 4;
 
     private final Random random;
-    private final LeaseTerms terms;
-    private final double driftShare;
-    private final List<Landed> log = new ArrayList<>();
-    private final TreeMap<Long, List<LeaseRecord>> underway = new TreeMap<>();
+    private final LeaseTimings timings;
+    private final double driftRatio;
+    private final List<LoggedAppend> log = new ArrayList<>();
+    private final TreeMap<Long, List<LeaseRecord>> inFlightAppends = new TreeMap<>();
     private final List<Instance> instances = new ArrayList<>();
     private final OrderGate gate = new OrderGate(1, event -> {});
     private final List<Long> acceptedNumbers = new ArrayList<>();
@@ -28,21 +28,21 @@
     private long nowMillis;
     private long nonce;
 
-    LeaseHistory(long seed, LeaseTerms terms, double driftShare) {
+    LeaseSimulation(long seed, LeaseTimings timings, double driftRatio) {
         this.random = new Random(seed);
-        this.terms = terms;
-        this.driftShare = driftShare;
+        this.timings = timings;
+        this.driftRatio = driftRatio;
         for (int i = 0; i < INSTANCES; i++) {
             instances.add(new Instance(i));
         }
-        gate.learn(SHARD, 0);
+        gate.raiseLowestValidNumber(SHARD, 0);
     }
 
-    /** Runs for {@code millis}; returns the most instances that held the lease at one time. */
+    /** Runs for {@code millis} and returns the maximum number of instances that held the lease at the same time. */
     int run(long millis) {
         int mostHolders = 0;
         for (long end = nowMillis + millis; nowMillis < end; nowMillis += STEP_MILLIS) {
-            land();
+            deliverAppends();
             instances.forEach(Instance::step);
             mostHolders = Math.max(mostHolders, holders());
         }
@@ -53,19 +53,23 @@
         return acceptedNumbers;
     }
 
-    int count(String what) {
-        return counts.getOrDefault(what, 0);
+    int count(String event) {
+        return counts.getOrDefault(event, 0);
     }
 
-    /** Replays the log from each offset; returns how often a reader that can tell differed from one from the start. */
+    /**
+     * Replays the log from each offset and compares the states with those of a replay of the complete log.
+     *
+     * @return the number of states that differ, not counting those that the reader cannot determine
+     */
     int disagreements() {
-        List<LeaseState> truth = replayFrom(0);
+        List<LeaseState> expected = replayFrom(0);
         int disagreements = 0;
         for (int first = 1; first < log.size(); first++) {
             List<LeaseState> states = replayFrom(first);
             for (int i = 0; i < states.size(); i++) {
-                boolean canTell = states.get(i).holder() != null;
-                disagreements += canTell && !states.get(i).equals(truth.get(first + i)) ? 1 : 0;
+                boolean isDetermined = states.get(i).holder() != null;
+                disagreements += isDetermined && !states.get(i).equals(expected.get(first + i)) ? 1 : 0;
             }
         }
         return disagreements;
@@ -87,26 +91,27 @@
 
     private long firstOffset() {
         return log.stream()
-                .filter(landed -> landed.millis() < nowMillis - RETENTION_MILLIS)
+                .filter(logged -> logged.millis() < nowMillis - RETENTION_MILLIS)
                 .count();
     }
 
-    private void land() {
-        while (!underway.isEmpty() && underway.firstKey() <= nowMillis) {
-            for (LeaseRecord leaseRecord : underway.pollFirstEntry().getValue()) {
-                log.add(new Landed(nowMillis, leaseRecord));
+    private void deliverAppends() {
+        while (!inFlightAppends.isEmpty() && inFlightAppends.firstKey() <= nowMillis) {
+            for (LeaseRecord leaseRecord : inFlightAppends.pollFirstEntry().getValue()) {
+                log.add(new LoggedAppend(nowMillis, leaseRecord));
             }
         }
     }
 
-    /** Loses some appends, repeats some and delays some for longer than a lease. */
+    /** Appends a record with random faults: some appends are lost, duplicated or delayed for longer than a lease. */
     private void append(LeaseRecord leaseRecord) {
         int copies = random.nextInt(10) == 0 ? random.nextInt(3) : 1;
         count("copies" + copies, true);
         for (int i = 0; i < copies; i++) {
             boolean isLate = random.nextInt(15) == 0;
             long delayMillis = random.nextInt(isLate ? 25_000 : 1_500);
-            underway.computeIfAbsent(nowMillis + delayMillis, key -> new ArrayList<>())
+            inFlightAppends
+                    .computeIfAbsent(nowMillis + delayMillis, key -> new ArrayList<>())
                     .add(leaseRecord);
         }
     }
@@ -119,11 +124,11 @@
         count(verdict.name(), true);
     }
 
-    private void count(String what, boolean happened) {
-        counts.merge(what, happened ? 1 : 0, Integer::sum);
+    private void count(String event, boolean happened) {
+        counts.merge(event, happened ? 1 : 0, Integer::sum);
     }
 
-    private record Landed(long millis, LeaseRecord leaseRecord) {}
+    private record LoggedAppend(long millis, LeaseRecord leaseRecord) {}
 
     private final class Instance {
         private final int index;
@@ -132,12 +137,12 @@
         private long incarnation;
         private long readToOffset;
         private long pausedUntilMillis;
-        private Optional<Long> numberInHand = Optional.empty();
+        private Optional<Long> pendingOrderNumber = Optional.empty();
         private LeaseManager manager;
 
         Instance(int index) {
             this.index = index;
-            this.rate = 1 + driftShare * (index % 2 == 0 ? 1 : -1);
+            this.rate = 1 + driftRatio * (index % 2 == 0 ? 1 : -1);
             this.manager = newManager();
         }
 
@@ -148,7 +153,7 @@
                     new InstanceId("entry-" + index),
                     incarnation,
                     List.of(SHARD),
-                    terms,
+                    timings,
                     () -> nonce++,
                     readToOffset,
                     event -> {},
@@ -160,20 +165,20 @@
         }
 
         private boolean holds() {
-            return manager.heldNumber(SHARD, localMillis()).isPresent();
+            return manager.heldFencingNumber(SHARD, localMillis()).isPresent();
         }
 
         private void step() {
             if (nowMillis < pausedUntilMillis) {
                 return;
             }
-            // An order that was decided before a pause is sent after it.
-            numberInHand.ifPresent(LeaseHistory.this::order);
+            // An order that was decided before a pause of the instance is sent after it.
+            pendingOrderNumber.ifPresent(LeaseSimulation.this::order);
             fault();
             read();
-            numberInHand = manager.heldNumber(SHARD, localMillis());
+            pendingOrderNumber = manager.heldFencingNumber(SHARD, localMillis());
             if (random.nextInt(3) == 0) {
-                manager.poll(shard -> index, localMillis()).forEach(LeaseHistory.this::append);
+                manager.poll(shard -> index, localMillis()).forEach(LeaseSimulation.this::append);
             }
         }
 
@@ -184,7 +189,7 @@
             }
             if (random.nextInt(600) == 0) {
                 manager = newManager();
-                numberInHand = Optional.empty();
+                pendingOrderNumber = Optional.empty();
                 count("restart", true);
             }
         }
@@ -192,7 +197,7 @@
         private void read() {
             int records = random.nextInt(4);
             for (int i = 0; i < records && readToOffset < log.size(); i++) {
-                manager.recordRead(readToOffset, log.get((int) readToOffset).leaseRecord(), localMillis());
+                manager.onRecordRead(readToOffset, log.get((int) readToOffset).leaseRecord(), localMillis());
                 readToOffset++;
             }
         }
--- a/core/src/test/java/org/jasminehub/core/lease/OrderGateTest.java
+++ b/core/src/test/java/org/jasminehub/core/lease/OrderGateTest.java
@@ -23,57 +23,57 @@
     @Nested
     class AfterStart {
         @Test
-        void testNoOrderIsTakenBeforeTheNumberIsLearnt() {
+        void testOrderIsRefusedWhileTheLowestValidNumberIsUnknown() {
             assertEquals(OrderVerdict.NUMBER_UNKNOWN, gate.admit(SHARD, 900, INCARNATION));
             assertEquals(List.of(new OrderRefused("shard-0", OrderVerdict.NUMBER_UNKNOWN, 900, -1)), events);
         }
 
         @Test
-        void testOldNumberIsRefusedOnceTheLogIsRead() {
+        void testOutdatedNumberIsRefusedAfterReadingTheLog() {
             LeaseTable table = new LeaseTable(0);
             table.apply(10, claim(10));
             table.apply(20, claim(20));
-            gate.learn(SHARD, table.lowestValidNumber(SHARD));
+            gate.raiseLowestValidNumber(SHARD, table.lowestValidNumber(SHARD));
             assertEquals(OrderVerdict.NUMBER_OLD, gate.admit(SHARD, 10, INCARNATION));
             assertEquals(OrderVerdict.ACCEPTED, gate.admit(SHARD, 20, INCARNATION));
         }
 
         @Test
-        void testNumberThatTheLogNoLongerHoldsIsRefused() {
+        void testNumberBelowTheFirstOffsetOfTheLogIsRefused() {
             LeaseTable table = new LeaseTable(500);
-            gate.learn(SHARD, table.lowestValidNumber(SHARD));
+            gate.raiseLowestValidNumber(SHARD, table.lowestValidNumber(SHARD));
             assertEquals(OrderVerdict.NUMBER_OLD, gate.admit(SHARD, 10, INCARNATION));
         }
 
         @Test
-        void testNothingIsLearntFromARecordWhoseEffectIsUnknown() {
+        void testRecordWithUndeterminedEffectDoesNotSetTheNumber() {
             LeaseTable table = new LeaseTable(500);
             table.apply(510, claim(490));
-            gate.learn(SHARD, table.lowestValidNumber(SHARD));
+            gate.raiseLowestValidNumber(SHARD, table.lowestValidNumber(SHARD));
             assertEquals(OrderVerdict.NUMBER_UNKNOWN, gate.admit(SHARD, 510, INCARNATION));
         }
 
         @Test
         void testOrderForAnEarlierIncarnationIsRefused() {
-            gate.learn(SHARD, 1);
+            gate.raiseLowestValidNumber(SHARD, 1);
             assertEquals(OrderVerdict.OTHER_INCARNATION, gate.admit(SHARD, 5, INCARNATION - 1));
         }
     }
 
     @Nested
-    class FrozenHolder {
+    class PausedHolder {
         @Test
-        void testOrderOfAFrozenHolderIsRefusedAfterItsSuccessorsFirst() {
-            gate.learn(SHARD, 10);
+        void testOrderOfAPausedHolderIsRefusedAfterAnOrderOfItsSuccessor() {
+            gate.raiseLowestValidNumber(SHARD, 10);
             assertEquals(OrderVerdict.ACCEPTED, gate.admit(SHARD, 10, INCARNATION));
             assertEquals(OrderVerdict.ACCEPTED, gate.admit(SHARD, 20, INCARNATION));
             assertEquals(OrderVerdict.NUMBER_OLD, gate.admit(SHARD, 10, INCARNATION));
         }
 
         @Test
-        void testLateAnswerOfTheLogLowersNothing() {
-            gate.learn(SHARD, 20);
-            gate.learn(SHARD, 10);
+        void testLaterReadOfAnOlderNumberDoesNotLowerTheNumber() {
+            gate.raiseLowestValidNumber(SHARD, 20);
+            gate.raiseLowestValidNumber(SHARD, 10);
             assertEquals(OrderVerdict.NUMBER_OLD, gate.admit(SHARD, 10, INCARNATION));
         }
     }
--- a/core/src/test/java/org/jasminehub/core/membership/HeartbeatRingTest.java
+++ b/core/src/test/java/org/jasminehub/core/membership/HeartbeatRingTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void testEachWatchesAndIsWatchedByTheSameNumber() {
+    void testEachInstanceIsWatchedByAsManyAsItWatches() {
         List<InstanceId> all = ids(2_300);
         Map<InstanceId, Long> watchers = all.stream()
                 .flatMap(id -> ring.watchedBy(id, all).stream())
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void testNewsReachesAllInLogarithmicallyManyHops() {
+    void testFactsReachAllInstancesInALogarithmicNumberOfHops() {
         List<InstanceId> all = ids(500);
         Map<InstanceId, List<InstanceId>> watched =
                 all.stream().collect(Collectors.toMap(Function.identity(), id -> ring.watchedBy(id, all)));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void testFewInstancesWatchAllOthersOnce() {
+    void testInstanceInASmallSystemWatchesAllOthers() {
         List<InstanceId> all = ids(4);
         List<InstanceId> watched = ring.watchedBy(all.get(1), all);
         assertEquals(3, watched.stream().distinct().count());
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void testInstanceThatIsNotListedYetWatchesToo() {
+    void testInstanceThatIsNotListedYetWatchesOthers() {
         assertEquals(6, ring.watchedBy(new InstanceId("entry-new"), ids(20)).size());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/membership/MemberFactsTest.java
+++ b/core/src/test/java/org/jasminehub/core/membership/MemberFactsTest.java
@@ -45,7 +45,7 @@
         }
 
         @Property(seed = "1")
-        void testOrderAndRepeatsDoNotMatter(@ForAll("histories") List<MemberFact> facts, @ForAll Random random) {
+        void testMergeIsCommutativeAndIdempotent(@ForAll("histories") List<MemberFact> facts, @ForAll Random random) {
             List<MemberFact> shuffled = new ArrayList<>(facts);
             shuffled.addAll(facts.subList(0, facts.size() / 2));
             Collections.shuffle(shuffled, random);
@@ -54,7 +54,7 @@
         }
 
         @Property(seed = "2")
-        void testGroupingDoesNotMatter(
+        void testMergeIsAssociative(
                 @ForAll("histories") List<MemberFact> first,
                 @ForAll("histories") List<MemberFact> second,
                 @ForAll("histories") List<MemberFact> third) {
@@ -69,12 +69,13 @@
         }
 
         @Property(seed = "3")
-        void testNothingIsEverReverted(@ForAll("histories") List<MemberFact> facts) {
-            MemberFacts held = new MemberFacts();
+        void testMergeNeverRevertsAFact(@ForAll("histories") List<MemberFact> facts) {
+            MemberFacts known = new MemberFacts();
             for (MemberFact fact : facts) {
-                Set<MemberFact> before = set(held);
-                held.merge(fact);
-                before.forEach(old -> assertMovedForward(old, held.get(old.id()).orElseThrow()));
+                Set<MemberFact> before = set(known);
+                known.merge(fact);
+                before.forEach(
+                        old -> assertMovedForward(old, known.get(old.id()).orElseThrow()));
             }
         }
 
@@ -88,7 +89,7 @@
     @Nested
     class Partition {
         @Test
-        void testRegionsThatLostEachOtherMergeByExchangingWhatDiffers() {
+        void testSeparatedRegionsConvergeByExchangingDifferingBuckets() {
             List<MemberFact> common = IntStream.range(0, 500)
                     .mapToObj(number -> fact(number, 1, MemberState.LIVE))
                     .toList();
@@ -99,8 +100,8 @@
             other.merge(fact(8, 2, MemberState.LIVE));
             other.merge(fact(9, 1, MemberState.LEAVING));
 
-            List<MemberFact> toOther = one.whereDifferent(other.digests());
-            List<MemberFact> toOne = other.whereDifferent(one.digests());
+            List<MemberFact> toOther = one.inDifferingBuckets(other.digests());
+            List<MemberFact> toOne = other.inDifferingBuckets(one.digests());
             toOther.forEach(other::merge);
             toOne.forEach(one::merge);
 
--- a/core/src/test/java/org/jasminehub/core/membership/MembershipViewTest.java
+++ b/core/src/test/java/org/jasminehub/core/membership/MembershipViewTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 final class MembershipViewTest {
-    private static final ListDoubtRule RULE = ListDoubtRule.STANDARD;
+    private static final ListRemovalRule RULE = ListRemovalRule.STANDARD;
     private static final long REFRESH_MILLIS = 2_000;
     private static final InstanceId FIRST = id(0);
 
@@ -51,11 +51,11 @@
 
     private void read(List<Member> list) {
         nowMillis += REFRESH_MILLIS;
-        view.listRead(list, nowMillis);
+        view.onListRead(list, nowMillis);
     }
 
-    private boolean takesNewWork(InstanceId id) {
-        return view.status(id, nowMillis).filter(MemberStatus::takesNewWork).isPresent();
+    private boolean acceptsNewWork(InstanceId id) {
+        return view.status(id, nowMillis).filter(MemberStatus::acceptsNewWork).isPresent();
     }
 
     private boolean hasEvent(MembershipEventKind kind) {
@@ -65,93 +65,93 @@
     @Nested
     class Leaving {
         @Test
-        void testLeavingOnTheLinkCountsAtOnceAlthoughTheListLags() {
+        void testLeavingReportedOnTheLinkAppliesBeforeTheListShowsIt() {
             read(live(0, 20));
-            view.linkHeard(fact(5, MemberState.LEAVING), nowMillis);
-            assertFalse(takesNewWork(FIRST));
+            view.onDirectFact(fact(5, MemberState.LEAVING), nowMillis);
+            assertFalse(acceptsNewWork(FIRST));
             read(live(0, 20));
-            assertFalse(takesNewWork(FIRST));
+            assertFalse(acceptsNewWork(FIRST));
         }
 
         @Test
-        void testLateFactOfAPeerDoesNotBringItBack() {
+        void testDelayedFactOfAPeerDoesNotMakeALeavingMemberLive() {
             read(live(0, 20));
-            view.peerHeard(fact(5, MemberState.LEAVING));
-            view.peerHeard(fact(5, MemberState.LIVE));
-            view.peerHeard(fact(4, MemberState.LIVE));
-            assertFalse(takesNewWork(FIRST));
+            view.onPeerFact(fact(5, MemberState.LEAVING));
+            view.onPeerFact(fact(5, MemberState.LIVE));
+            view.onPeerFact(fact(4, MemberState.LIVE));
+            assertFalse(acceptsNewWork(FIRST));
         }
 
         @Test
-        void testNewIncarnationComesBack() {
+        void testNewIncarnationOfALeavingMemberIsLive() {
             read(live(0, 20));
-            view.linkHeard(fact(5, MemberState.LEAVING), nowMillis);
-            view.peerHeard(fact(6, MemberState.LIVE));
-            assertTrue(takesNewWork(FIRST));
-            view.linkHeard(fact(5, MemberState.LEAVING), nowMillis);
-            assertTrue(takesNewWork(FIRST));
+            view.onDirectFact(fact(5, MemberState.LEAVING), nowMillis);
+            view.onPeerFact(fact(6, MemberState.LIVE));
+            assertTrue(acceptsNewWork(FIRST));
+            view.onDirectFact(fact(5, MemberState.LEAVING), nowMillis);
+            assertTrue(acceptsNewWork(FIRST));
             assertTrue(hasEvent(MembershipEventKind.MEMBER_RETURNED));
         }
 
         @Test
-        void testListThatTurnsItLeavingIsObeyedAgainstItsOwnWord() {
+        void testLeavingStateOfTheListOverridesTheMembersOwnReport() {
             read(live(0, 20));
-            view.linkHeard(fact(5, MemberState.LIVE), nowMillis);
+            view.onDirectFact(fact(5, MemberState.LIVE), nowMillis);
             List<Member> list = new ArrayList<>(live(1, 20));
             list.add(member(0, MemberState.LEAVING));
             read(list);
-            view.linkHeard(fact(5, MemberState.LIVE), nowMillis);
-            assertFalse(takesNewWork(FIRST));
+            view.onDirectFact(fact(5, MemberState.LIVE), nowMillis);
+            assertFalse(acceptsNewWork(FIRST));
             read(live(0, 20));
-            assertFalse(takesNewWork(FIRST));
-            view.linkHeard(fact(6, MemberState.LIVE), nowMillis);
-            assertTrue(takesNewWork(FIRST));
+            assertFalse(acceptsNewWork(FIRST));
+            view.onDirectFact(fact(6, MemberState.LIVE), nowMillis);
+            assertTrue(acceptsNewWork(FIRST));
         }
 
         @Test
-        void testListThatLagsBehindARestartHoldsNobodyBackForGood() {
+        void testLeavingStateOfALaggingListIsNotPermanentAfterARestart() {
             List<Member> list = new ArrayList<>(live(1, 20));
             list.add(member(0, MemberState.LEAVING));
             read(list);
-            view.linkHeard(fact(6, MemberState.LIVE), nowMillis);
-            assertFalse(takesNewWork(FIRST));
+            view.onDirectFact(fact(6, MemberState.LIVE), nowMillis);
+            assertFalse(acceptsNewWork(FIRST));
             read(live(0, 20));
-            assertTrue(takesNewWork(FIRST));
+            assertTrue(acceptsNewWork(FIRST));
         }
     }
 
     @Nested
     class Contact {
         @Test
-        void testSilentMemberGetsNoWorkButStaysAMember() {
+        void testSilentMemberReceivesNoWorkUntilItIsHeardAgain() {
             read(live(0, 20));
             view.watch(Set.of(FIRST), nowMillis);
-            assertTrue(takesNewWork(FIRST));
+            assertTrue(acceptsNewWork(FIRST));
             nowMillis += MembershipSettings.STANDARD.silenceMillis() + 1;
             view.checkContacts(nowMillis);
-            assertFalse(takesNewWork(FIRST));
+            assertFalse(acceptsNewWork(FIRST));
             assertTrue(hasEvent(MembershipEventKind.MEMBER_SILENT));
-            view.linkHeard(fact(5, MemberState.LIVE), nowMillis);
+            view.onDirectFact(fact(5, MemberState.LIVE), nowMillis);
             view.checkContacts(nowMillis);
-            assertTrue(takesNewWork(FIRST));
+            assertTrue(acceptsNewWork(FIRST));
         }
 
         @Test
-        void testBrokenLinkCountsAtOnce() {
+        void testMemberIsSilentImmediatelyAfterItsLinkBreaks() {
             read(live(0, 20));
             view.watch(Set.of(FIRST), nowMillis);
-            view.linkBroken(FIRST);
-            assertFalse(takesNewWork(FIRST));
+            view.onLinkBroken(FIRST);
+            assertFalse(acceptsNewWork(FIRST));
         }
 
         @Test
-        void testMessageOfAnEarlierIncarnationIsNoSignOfLife() {
+        void testMessageOfAnEarlierIncarnationDoesNotCountAsContact() {
             read(live(0, 20));
             view.watch(Set.of(FIRST), nowMillis);
-            view.peerHeard(fact(6, MemberState.LIVE));
+            view.onPeerFact(fact(6, MemberState.LIVE));
             nowMillis += MembershipSettings.STANDARD.silenceMillis() + 1;
-            view.linkHeard(fact(5, MemberState.LIVE), nowMillis);
-            assertFalse(takesNewWork(FIRST));
+            view.onDirectFact(fact(5, MemberState.LIVE), nowMillis);
+            assertFalse(acceptsNewWork(FIRST));
         }
     }
 
@@ -161,12 +161,12 @@
 
         private int liveCount() {
             return (int) view.members(nowMillis).stream()
-                    .filter(MemberStatus::takesNewWork)
+                    .filter(MemberStatus::acceptsNewWork)
                     .count();
         }
 
         @Test
-        void testLossOfOneFailureDomainIsObeyedAtOnce() {
+        void testLossOfOneFailureDomainIsAppliedImmediately() {
             read(live(0, ALL));
             read(live(ALL / 13, ALL));
             assertEquals(ALL - ALL / 13, liveCount());
@@ -174,7 +174,7 @@
         }
 
         @Test
-        void testListThatEmptiesAtOnceTakesNobodyAway() {
+        void testEmptyListRemovesNoMembers() {
             read(live(0, ALL));
             read(List.of());
             assertEquals(ALL, liveCount());
@@ -184,7 +184,7 @@
         }
 
         @Test
-        void testListThatTurnsAllLeavingAtOnceTakesNobodyAway() {
+        void testListThatShowsAllMembersAsLeavingRemovesNone() {
             read(live(0, ALL));
             read(live(0, ALL).stream()
                     .map(member -> member.withState(MemberState.LEAVING))
@@ -193,16 +193,16 @@
         }
 
         @Test
-        void testListThatShrinksStepByStepTakesNoMoreThanTheShareInAWindow() {
+        void testGraduallyShrinkingListRemovesAtMostTheShareInAWindow() {
             read(live(0, ALL));
             for (int gone = 100; gone <= 1_000; gone += 100) {
                 read(live(gone, ALL));
             }
-            assertTrue(liveCount() >= ALL - RULE.freeRemovals(ALL));
+            assertTrue(liveCount() >= ALL - RULE.immediateRemovals(ALL));
         }
 
         @Test
-        void testAbsenceThatLastsIsObeyedAfterTheTimeOfTheRule() {
+        void testMissingMembersAreRemovedAfterTheConfirmationTime() {
             read(live(0, ALL));
             read(live(300, ALL));
             long firstMissingMillis = nowMillis;
@@ -215,13 +215,13 @@
         }
 
         @Test
-        void testMemberThatIsHeardIsKeptThoughTheListLostIt() {
+        void testMissingMemberThatStillSendsMessagesIsKept() {
             read(live(0, 20));
             view.watch(Set.of(FIRST), nowMillis);
             nowMillis += REFRESH_MILLIS;
-            view.linkHeard(fact(5, MemberState.LIVE), nowMillis);
+            view.onDirectFact(fact(5, MemberState.LIVE), nowMillis);
             read(live(1, 20));
-            assertTrue(takesNewWork(FIRST));
+            assertTrue(acceptsNewWork(FIRST));
         }
     }
 }
--- a/core/src/test/java/org/jasminehub/core/yaml/StrictYamlReaderTest.java
+++ b/core/src/test/java/org/jasminehub/core/yaml/StrictYamlReaderTest.java
@@ -19,52 +19,52 @@
     @Nested
     final class Accepts {
         @Test
-        void testCompleteMappingGivesRecord() {
+        void testCompleteMapping() {
             assertEquals(new Sample("a", 5), reader.read("name: a\ntimeoutMillis: 5\n", Sample.class));
         }
     }
 
     @Nested
-    final class Refuses {
+    final class Rejects {
         @Test
-        void testUnknownKeyIsNamedWithItsLine() {
+        void testUnknownKeyIsReportedWithItsLine() {
             YamlFailure failure = failureOf("name: a\ntimeoutMillis: 5\ntimeout: 5\n");
-            assertEquals("timeout", failure.place());
+            assertEquals("timeout", failure.path());
             assertEquals(3, failure.line());
         }
 
         @Test
-        void testMissingKeyIsNamed() {
-            assertEquals("timeoutMillis", failureOf("name: a\n").place());
+        void testMissingKeyIsReported() {
+            assertEquals("timeoutMillis", failureOf("name: a\n").path());
         }
 
         @Test
-        void testRepeatedKeyIsRefused() {
+        void testDuplicateKeyIsRejected() {
             assertEquals(
                     "valid YAML",
                     failureOf("name: a\nname: b\ntimeoutMillis: 5\n").expected());
         }
 
         @Test
-        void testTextInPlaceOfNumberIsRefused() {
+        void testTextInsteadOfNumberIsRejected() {
             assertEquals(
-                    "timeoutMillis", failureOf("name: a\ntimeoutMillis: 5s\n").place());
+                    "timeoutMillis", failureOf("name: a\ntimeoutMillis: 5s\n").path());
         }
 
         @Test
-        void testFractionInPlaceOfWholeNumberIsRefused() {
+        void testFractionInsteadOfIntegerIsRejected() {
             assertEquals(
-                    "timeoutMillis", failureOf("name: a\ntimeoutMillis: 5.5\n").place());
+                    "timeoutMillis", failureOf("name: a\ntimeoutMillis: 5.5\n").path());
         }
 
         @Test
-        void testEmptyTextIsRefused() {
+        void testEmptyTextIsRejected() {
             assertThrows(YamlException.class, () -> reader.read("", Sample.class));
         }
 
         @Test
-        void testNullValueIsRefused() {
-            assertEquals("name", failureOf("name:\ntimeoutMillis: 5\n").place());
+        void testNullValueIsRejected() {
+            assertEquals("name", failureOf("name:\ntimeoutMillis: 5\n").path());
         }
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
@@ -113,15 +113,15 @@
 
     /** Publishes a change only, as each publishing opens lost connections again and a refused one breaks at once. */
     private void breakLink(InstanceId instance) {
-        boolean tookWork = takesNewWork(instance);
-        view.linkBroken(instance);
-        if (tookWork != takesNewWork(instance)) {
+        boolean tookWork = acceptsNewWork(instance);
+        view.onLinkBroken(instance);
+        if (tookWork != acceptsNewWork(instance)) {
             publish();
         }
     }
 
     private void accept(List<Member> members) {
-        view.listRead(members, now());
+        view.onListRead(members, now());
         Set<InstanceId> chosen = new HashSet<>(watchPolicy.choose(merged()));
         watched.stream().filter(this::isListedAndLeaving).forEach(chosen::add);
         chosen.add(self);
@@ -136,23 +136,23 @@
             return;
         }
         long digestBefore = view.digests().hashCode();
-        boolean tookWork = takesNewWork(fact.get().id());
-        view.linkHeard(fact.get(), now());
+        boolean tookWork = acceptsNewWork(fact.get().id());
+        view.onDirectFact(fact.get(), now());
         for (MemberReport report : peer.getMembersList()) {
             fact(report.getInstance(), report.getIncarnation(), report.getLeaving())
-                    .ifPresent(view::peerHeard);
+                    .ifPresent(view::onPeerFact);
         }
         boolean hasNews = view.digests().hashCode() != digestBefore;
         if (hasNews) {
             passOnNews();
         }
-        if (hasNews || tookWork != takesNewWork(fact.get().id())) {
+        if (hasNews || tookWork != acceptsNewWork(fact.get().id())) {
             publish();
         }
     }
 
     private void passOnNews() {
-        reports = view.nextHearsay(MAX_REPORTS).stream()
+        reports = view.nextGossip(MAX_REPORTS).stream()
                 .map(MembershipController::report)
                 .toList();
         broadcast.run();
@@ -178,7 +178,7 @@
 
     private static Member published(MemberStatus status) {
         Member member = status.member();
-        return status.takesNewWork() ? member : member.withState(MemberState.LEAVING);
+        return status.acceptsNewWork() ? member : member.withState(MemberState.LEAVING);
     }
 
     private boolean isListedAndLeaving(InstanceId id) {
@@ -187,8 +187,8 @@
                 .isPresent();
     }
 
-    private boolean takesNewWork(InstanceId id) {
-        return view.status(id, now()).filter(MemberStatus::takesNewWork).isPresent();
+    private boolean acceptsNewWork(InstanceId id) {
+        return view.status(id, now()).filter(MemberStatus::acceptsNewWork).isPresent();
     }
 
     private long now() {
--- a/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
@@ -31,8 +31,8 @@
             throw new SettingsException(file.toString(), "(file)", "no readable file", "a YAML file");
         } catch (YamlException e) {
             YamlFailure failure = e.failure();
-            String place = "line " + failure.line() + ", " + failure.place();
-            throw new SettingsException(file.toString(), place, failure.found(), failure.expected());
+            String path = "line " + failure.line() + ", " + failure.path();
+            throw new SettingsException(file.toString(), path, failure.found(), failure.expected());
         }
     }
 }
