--- a/agent/src/main/java/org/jasminehub/agent/Agent.java
+++ b/agent/src/main/java/org/jasminehub/agent/Agent.java
@@ -38,7 +38,7 @@
 import org.jasminehub.wire.generated.VersionInForce;
 
 /**
- * One agent: takes calls of entry instances, sends them to its endpoint, and reports the endpoint's load.
+ * An agent, which accepts calls from entry instances, forwards them to its endpoint and reports the endpoint's load.
  *
  * <pre>{@code
  * try (Agent agent = new Agent(settings, system, group, clock, events, metrics)) {
@@ -51,22 +51,22 @@
 public final class Agent implements AutoCloseable {
     private static final long ANNOUNCE_MILLIS = 3_000;
     private static final long MAX_DRAIN_MILLIS = 900_000;
-    private static final AgentDrainPolicy DRAIN = new AgentDrainPolicy(ANNOUNCE_MILLIS, MAX_DRAIN_MILLIS);
+    private static final AgentDrainPolicy DRAIN_POLICY = new AgentDrainPolicy(ANNOUNCE_MILLIS, MAX_DRAIN_MILLIS);
     private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
     private final AgentSettings settings;
     private final ActorSystem<?> system;
     private final Clock clock;
     private final long incarnation;
-    private final LeavingFilter leaving = new LeavingFilter();
-    private final DocumentVersionFilter versions = new DocumentVersionFilter();
-    private final RunningCalls running = new RunningCalls();
+    private final LeavingFilter leavingFilter = new LeavingFilter();
+    private final DocumentVersionFilter versionFilter = new DocumentVersionFilter();
+    private final RunningCalls runningCalls = new RunningCalls();
     private final OperationGuard operations;
     private final WireServer server;
     private final Cancellable loadTimer;
     private final Cancellable admissionTimer;
 
-    /** Starts an agent; its incarnation is the clock's wall time. */
+    /** Starts an agent and uses the current wall time as its incarnation. */
     public Agent(
             AgentSettings settings,
             ActorSystem<?> system,
@@ -82,30 +82,39 @@
         EndpointClient client = new EndpointClient(system, settings.endpoint());
         EndpointRelay relay = new EndpointRelay(system, client, isModel, events);
         this.operations = OperationGuard.create(hello(), settings.target().name(), clock, events);
-        OperationFilter onceOnly = new OperationFilter(system, client, operations, EndpointRelay::isConnectFailure);
+        OperationFilter operationFilter =
+                new OperationFilter(system, client, operations, EndpointRelay::isConnectFailure);
         AdmissionFilter admission = new AdmissionFilter(clock, AdmissionSettings.defaults(), events);
-        CallHandler chain = CallFilter.chain(
-                List.of(new MetricsFilter(metrics), running, versions, onceOnly, leaving, admission), relay);
+        CallHandler handler = CallFilter.chain(
+                List.of(
+                        new MetricsFilter(metrics),
+                        runningCalls,
+                        versionFilter,
+                        operationFilter,
+                        leavingFilter,
+                        admission),
+                relay);
         this.server = WireServer.start(
                 group,
                 settings.host(),
                 settings.wirePort(),
                 this::hello,
-                incoming -> chain.handle(new AgentCall(incoming, this.clock.monotonicMillis())),
+                incoming -> handler.handle(new AgentCall(incoming, this.clock.monotonicMillis())),
                 controlRouter(),
                 events);
         LoadReporter reporter = new LoadReporter(
                 system,
                 client,
                 isModel,
-                () -> !leaving.isLeaving(),
+                () -> !leavingFilter.isLeaving(),
                 load -> server.broadcastLoad(admission.onLoad(load)));
-        Duration interval = Duration.ofMillis(settings.loadIntervalMillis());
-        this.loadTimer =
-                system.scheduler().scheduleAtFixedRate(interval, interval, reporter::report, system.executionContext());
-        Duration advance = Duration.ofMillis(AdmissionFilter.ADVANCE_INTERVAL_MILLIS);
-        this.admissionTimer =
-                system.scheduler().scheduleAtFixedRate(advance, advance, admission::advance, system.executionContext());
+        Duration loadInterval = Duration.ofMillis(settings.loadIntervalMillis());
+        this.loadTimer = system.scheduler()
+                .scheduleAtFixedRate(loadInterval, loadInterval, reporter::report, system.executionContext());
+        Duration admissionInterval = Duration.ofMillis(AdmissionFilter.ADVANCE_INTERVAL_MILLIS);
+        this.admissionTimer = system.scheduler()
+                .scheduleAtFixedRate(
+                        admissionInterval, admissionInterval, admission::advance, system.executionContext());
     }
 
     /** Returns the port that entry instances connect to. */
@@ -113,20 +122,20 @@
         return server.port();
     }
 
-    /** Returns how many calls it has not finished. */
+    /** Returns the number of calls that have not ended. */
     public int runningCalls() {
-        return running.count();
+        return runningCalls.count();
     }
 
-    /** Takes no new work from now on and says so to every connected entry instance; does not block. */
+    /** Stops accepting new calls and notifies every connected entry instance; does not block. */
     public void leave() {
-        leaving.leave();
+        leavingFilter.leave();
         server.broadcastHello();
     }
 
     /**
-     * Begins a planned stop: takes no new work and finishes what runs, for a bounded time. The stage completes when the
-     * process may end.
+     * Starts a graceful shutdown: stops accepting new calls and lets running calls finish within a time limit. The
+     * returned stage completes when the process may exit.
      */
     public CompletionStage<Void> drain() {
         leave();
@@ -136,13 +145,13 @@
                 .scheduleAtFixedRate(
                         DRAIN_POLL_INTERVAL,
                         DRAIN_POLL_INTERVAL,
-                        () -> endDrain(startMillis, stopped),
+                        () -> completeIfDrained(startMillis, stopped),
                         system.executionContext());
         stopped.thenRun(poll::cancel);
         return stopped;
     }
 
-    /** Stops at once; calls that run are cut. */
+    /** Stops immediately and interrupts running calls. */
     @Override
     public void close() {
         loadTimer.cancel();
@@ -150,9 +159,9 @@
         server.close();
     }
 
-    private void endDrain(long startMillis, CompletableFuture<Void> stopped) {
+    private void completeIfDrained(long startMillis, CompletableFuture<Void> stopped) {
         long elapsedMillis = clock.monotonicMillis() - startMillis;
-        if (DRAIN.phase(elapsedMillis, running.count(), true) == DrainPhase.STOPPED) {
+        if (DRAIN_POLICY.phase(elapsedMillis, runningCalls.count(), true) == DrainPhase.STOPPED) {
             stopped.complete(null);
         }
     }
@@ -163,7 +172,7 @@
                 .setInstance(settings.instance())
                 .setIncarnation(incarnation)
                 .setFailureDomain(settings.failureDomain())
-                .setLeaving(leaving.isLeaving())
+                .setLeaving(leavingFilter.isLeaving())
                 .build();
     }
 
@@ -177,7 +186,8 @@
 
     private ControlReply.Builder status() {
         StatusReply.Builder status = StatusReply.newBuilder().setHello(hello()).setCurrent(true);
-        versions.newestVersions()
+        versionFilter
+                .newestVersions()
                 .forEach((team, version) -> status.addVersions(
                         VersionInForce.newBuilder().setTeam(team.value()).setVersion(version)));
         return ControlReply.newBuilder().setStatus(status);
@@ -185,7 +195,7 @@
 
     private ControlReply.Builder leaveAndReport() {
         leave();
-        return ControlReply.newBuilder().setLeave(LeaveReply.newBuilder().setRemainingRequests(running.count()));
+        return ControlReply.newBuilder().setLeave(LeaveReply.newBuilder().setRemainingRequests(runningCalls.count()));
     }
 
     private static CompletionStage<ControlReply.Builder> completed(ControlReply.Builder reply) {
--- a/agent/src/main/java/org/jasminehub/agent/AgentSettings.java
+++ b/agent/src/main/java/org/jasminehub/agent/AgentSettings.java
@@ -5,16 +5,16 @@
 import org.jasminehub.platform.http.Address;
 
 /**
- * The settings of one agent, as its settings file holds them.
+ * The settings of one agent, as read from its settings file.
  *
- * @param instance the instance's name
- * @param failureDomain the set of instances it tends to fail with
- * @param host the IP address it listens on
- * @param wirePort the port for entry instances, 0 for a free one
- * @param operationsPort the port of metrics and health, 0 for a free one
- * @param target what the endpoint serves
- * @param endpoint where the endpoint listens
- * @param loadIntervalMillis how often the endpoint's load is read and reported
+ * @param instance the name of the instance
+ * @param failureDomain the failure domain, a group of instances that tend to fail together
+ * @param host the IP address to listen on
+ * @param wirePort the port for entry instances, or 0 for any free port
+ * @param operationsPort the port for metrics and health checks, or 0 for any free port
+ * @param target the model or service that the endpoint serves
+ * @param endpoint the address of the endpoint
+ * @param loadIntervalMillis the interval at which the endpoint's load is read and reported
  */
 public record AgentSettings(
         String instance,
@@ -29,7 +29,7 @@
     private static final int MIN_INTERVAL_MILLIS = 50;
     private static final int MAX_INTERVAL_MILLIS = 2_000;
 
-    /** Creates checked settings. */
+    /** Creates settings; throws if a name is blank or a number is out of range. */
     public AgentSettings {
         Checks.notBlank("instance", instance);
         Checks.notBlank("failureDomain", failureDomain);
--- a/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
@@ -23,25 +23,25 @@
 import org.jasminehub.wire.generated.PriorityClass;
 
 /**
- * Holds calls until the engine has room, and refuses at once those that it cannot answer in time.
+ * Queues calls until the engine has capacity for them, and refuses calls that the engine cannot answer in time.
  *
- * <p>{@link #advance} must be called every {@value #ADVANCE_INTERVAL_MILLIS} ms, and {@link #onLoad} with each report of
- * the engine. Safe for use by several threads.
+ * <p>{@link #advance} must be called every {@value #ADVANCE_INTERVAL_MILLIS} ms, and {@link #onLoad} with each load
+ * report of the engine. Safe for use by several threads.
  */
 public final class AdmissionFilter implements CallFilter {
-    /** How often {@link #advance} must be called. */
+    /** The interval at which {@link #advance} must be called. */
     public static final int ADVANCE_INTERVAL_MILLIS = 20;
 
-    /** What is assumed of an engine before its first report. */
+    /** The engine speed that is assumed until the first load report. */
     private static final EngineSpeed INITIAL_SPEED = new EngineSpeed(32, 30, 10_000);
 
     private static final long UNKNOWN_TOKENS = -1;
 
     private final AdmissionController controller;
     private final AtomicLong nextKey = new AtomicLong();
-    private final Map<Long, Waiting> waiting = new ConcurrentHashMap<>();
+    private final Map<Long, WaitingCall> waiting = new ConcurrentHashMap<>();
 
-    private record Waiting(AgentCall call, CallHandler next) {}
+    private record WaitingCall(AgentCall call, CallHandler next) {}
 
     /** Creates a filter with an empty queue. */
     public AdmissionFilter(Clock clock, AdmissionSettings settings, EventSink events) {
@@ -51,23 +51,25 @@
     @Override
     public void handle(AgentCall call, CallHandler next) {
         long key = nextKey.getAndIncrement();
-        waiting.put(key, new Waiting(call, next));
+        waiting.put(key, new WaitingCall(call, next));
         List<AdmissionOutcome> outcomes = controller.offer(requestOf(key, call));
-        call.whenEnded(result -> ended(key, result));
-        act(outcomes);
+        call.whenEnded(result -> onEnded(key, result));
+        handleOutcomes(outcomes);
     }
 
-    /** Starts what there is room for, and refuses what can no longer be answered in time. */
+    /**
+     * Starts the waiting calls for which there is capacity, and refuses those that can no longer be answered in time.
+     */
     public void advance() {
-        act(controller.advance());
+        handleOutcomes(controller.advance());
     }
 
-    /** Takes a report of the engine, and returns it with the work that waits here. */
+    /** Applies a load report of the engine; returns the report with the work that is queued in this filter added. */
     public EndpointLoad onLoad(EndpointLoad load) {
-        boolean isUsable =
+        boolean hasSpeed =
                 load.getCapacityRequests() > 0 && load.getStepMillis() > 0 && load.getPrefillTokensPerSecond() > 0;
-        if (isUsable) {
-            act(controller.speedChanged(new EngineSpeed(
+        if (hasSpeed) {
+            handleOutcomes(controller.speedChanged(new EngineSpeed(
                     load.getCapacityRequests(), load.getStepMillis(), load.getPrefillTokensPerSecond())));
         }
         return load.toBuilder()
@@ -75,18 +77,18 @@
                 .build();
     }
 
-    /** Returns the tokens of work that wait. */
+    /** Returns the queued work, in tokens. */
     public long queuedTokens() {
         return controller.queuedTokens();
     }
 
-    private void ended(long key, CallResult result) {
+    private void onEnded(long key, CallResult result) {
         waiting.remove(key);
         boolean isCancelled = result == CallResult.CANCELLED;
-        act(isCancelled ? controller.canceled(key) : controller.finished(key, UNKNOWN_TOKENS));
+        handleOutcomes(isCancelled ? controller.canceled(key) : controller.finished(key, UNKNOWN_TOKENS));
     }
 
-    private void act(List<AdmissionOutcome> outcomes) {
+    private void handleOutcomes(List<AdmissionOutcome> outcomes) {
         for (AdmissionOutcome outcome : outcomes) {
             if (outcome instanceof AdmissionOutcome.Started started) {
                 start(started);
@@ -97,21 +99,22 @@
     }
 
     private void start(AdmissionOutcome.Started started) {
-        Waiting present = waiting.remove(started.request().key());
-        if (present != null && !present.call().hasEnded()) {
-            present.next().handle(present.call());
+        WaitingCall waitingCall = waiting.remove(started.request().key());
+        if (waitingCall != null && !waitingCall.call().hasEnded()) {
+            waitingCall.next().handle(waitingCall.call());
         }
     }
 
     private void refuse(AdmissionOutcome.Refused refused) {
-        Waiting present = waiting.remove(refused.request().key());
-        if (present != null) {
-            present.call()
+        WaitingCall waitingCall = waiting.remove(refused.request().key());
+        if (waitingCall != null) {
+            waitingCall
+                    .call()
                     .refuse(
                             refused.code(),
                             Outcome.NOT_RUN,
                             refused.retryAfterMillis(),
-                            "the endpoint has " + controller.queuedTokens() + " tokens of work waiting");
+                            "the endpoint has " + controller.queuedTokens() + " tokens of work queued");
         }
     }
 
--- a/agent/src/main/java/org/jasminehub/agent/admission/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Admission of calls before they reach the endpoint. */
+/** Admission control of calls before they are sent to the endpoint. */
 @NullMarked
 package org.jasminehub.agent.admission;
 
--- a/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
@@ -14,10 +14,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call at the agent, from its arrival to its end.
+ * A call received from an entry instance, from its arrival to its end.
  *
- * <p>It counts the credit of the entry instance and remembers a cancellation, so a filter may hold it before the
- * endpoint takes it over. Safe for use by several threads.
+ * <p>It accumulates the flow-control credit of the entry instance and records a cancellation, so no event is lost while
+ * a filter delays the call. Safe for use by several threads.
  */
 public final class AgentCall {
     private final IncomingCall incoming;
@@ -26,9 +26,9 @@
 
     private long credit;
     private @Nullable CallResult result;
-    private Runnable wakeUp = () -> {};
+    private Runnable changeListener = () -> {};
 
-    /** Takes over {@code incoming}, which arrived at {@code arrivedMillis} of the process's monotonic clock. */
+    /** Creates a call for {@code incoming}, which arrived at {@code arrivedMillis} by the process's monotonic clock. */
     public AgentCall(IncomingCall incoming, long arrivedMillis) {
         this.incoming = incoming;
         this.arrivedMillis = arrivedMillis;
@@ -46,7 +46,7 @@
         });
     }
 
-    /** Returns what the entry instance asked for. */
+    /** Returns the request of the entry instance. */
     public CallStart start() {
         return incoming.start();
     }
@@ -56,28 +56,28 @@
         return arrivedMillis;
     }
 
-    /** Returns when the request is of no use any more, by the process's monotonic clock. */
+    /** Returns the deadline of the request, by the process's monotonic clock. */
     public long deadlineMillis() {
         return arrivedMillis + Integer.toUnsignedLong(start().getRemainingMillis());
     }
 
-    /** Calls {@code listener} once when the call ends, at once if it has ended. */
+    /** Calls {@code listener} once when the call ends, or immediately if it has ended. */
     public void whenEnded(Consumer<CallResult> listener) {
-        CallResult known;
+        CallResult currentResult;
         synchronized (this) {
-            known = result;
-            if (known == null) {
+            currentResult = result;
+            if (currentResult == null) {
                 endListeners.add(listener);
             }
         }
-        if (known != null) {
-            listener.accept(known);
+        if (currentResult != null) {
+            listener.accept(currentResult);
         }
     }
 
-    /** Sets what runs whenever credit arrives or the call ends; it must not block. */
-    public synchronized void onChange(Runnable newWakeUp) {
-        wakeUp = newWakeUp;
+    /** Sets the action that runs whenever credit arrives or the call ends; it must not block. */
+    public synchronized void onChange(Runnable newChangeListener) {
+        changeListener = newChangeListener;
     }
 
     /** Returns whether the call has ended. */
@@ -85,7 +85,7 @@
         return result != null;
     }
 
-    /** Takes credit for one chunk; returns false where there is none. */
+    /** Consumes credit for one chunk; returns false if there is none. */
     public synchronized boolean takeCredit() {
         if (credit == 0) {
             return false;
@@ -94,23 +94,23 @@
         return true;
     }
 
-    /** Sends the head of the answer. */
+    /** Sends the head of the response. */
     public void head(int status, List<Header> headers) {
         incoming.head(status, headers);
     }
 
-    /** Sends one chunk, for which credit was taken. */
+    /** Sends one chunk; the caller must have consumed credit for it with {@link #takeCredit}. */
     public void chunk(ByteString data) {
         incoming.chunk(data);
     }
 
-    /** Ends a whole answer. */
+    /** Ends a complete response. */
     public void end() {
         incoming.end();
         finish(CallResult.ANSWERED);
     }
 
-    /** Ends the call with a failure; {@code retryAfterMillis} is negative where coming back makes no difference. */
+    /** Ends the call with a failure; {@code retryAfterMillis} is negative if a later retry would not help. */
     public void refuse(ErrorCode code, Outcome outcome, long retryAfterMillis, String message) {
         refuse(AnswerRefused.newBuilder()
                 .setCode(code.code())
@@ -119,33 +119,33 @@
                 .setMessage(message));
     }
 
-    /** Ends the call with a failure that is already in the form of a message. */
+    /** Ends the call with {@code refusal}. */
     public void refuse(AnswerRefused.Builder refusal) {
         incoming.refuse(refusal);
         finish(CallResult.REFUSED);
     }
 
     private void addCredit(int chunks) {
-        Runnable present;
+        Runnable action;
         synchronized (this) {
             credit += Integer.toUnsignedLong(chunks);
-            present = wakeUp;
+            action = changeListener;
         }
-        present.run();
+        action.run();
     }
 
     private void finish(CallResult newResult) {
         List<Consumer<CallResult>> listeners;
-        Runnable present;
+        Runnable action;
         synchronized (this) {
             if (result != null) {
                 return;
             }
             result = newResult;
             listeners = List.copyOf(endListeners);
-            present = wakeUp;
+            action = changeListener;
         }
-        present.run();
+        action.run();
         listeners.forEach(listener -> listener.accept(newResult));
     }
 }
--- a/agent/src/main/java/org/jasminehub/agent/call/CallHandler.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/CallHandler.java
@@ -1,8 +1,8 @@
 package org.jasminehub.agent.call;
 
-/** Runs a call; must not block. */
+/** Handles calls; must not block. */
 @FunctionalInterface
 public interface CallHandler {
-    /** Takes over {@code call} and sees that it ends. */
+    /** Handles {@code call} and is responsible for ending it. */
     void handle(AgentCall call);
 }
--- a/agent/src/main/java/org/jasminehub/agent/call/CallResult.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/CallResult.java
@@ -2,10 +2,10 @@
 
 /** How a call ended at the agent. */
 public enum CallResult {
-    /** The whole answer was sent. */
+    /** The complete response was sent. */
     ANSWERED,
-    /** A refusal or failure was sent in place of a whole answer. */
+    /** A refusal or failure was sent in place of a complete response. */
     REFUSED,
-    /** The entry instance did not want the answer any more, or its connection was lost. */
+    /** The entry instance cancelled the call, or its connection was lost. */
     CANCELLED
 }
--- a/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
@@ -8,8 +8,8 @@
 import org.jasminehub.wire.generated.AnswerRefused;
 
 /**
- * Refuses work that was decided under an older document than one already shown here, so that a slow entry instance
- * cannot revert what callers see.
+ * Refuses calls that were routed by an older version of a team's document than the newest version that an earlier call
+ * carried, so that a slow entry instance cannot revert a change that callers have already seen.
  *
  * <p>Safe for use by several threads.
  */
@@ -31,10 +31,10 @@
                 .setOutcome(Outcome.NOT_RUN.label())
                 .setRetryAfterMillis(RETRY_AFTER_MILLIS)
                 .setNewestDocumentVersion(newest)
-                .setMessage("document version " + version + " is older than " + newest));
+                .setMessage("document version " + version + " is older than version " + newest));
     }
 
-    /** Returns the newest version of each team's document that was shown here. */
+    /** Returns the newest document version that a call has carried, for each team. */
     public Map<TeamId, Long> newestVersions() {
         return Map.copyOf(newestVersions);
     }
--- a/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
@@ -3,16 +3,16 @@
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.error.Outcome;
 
-/** Refuses new work once the agent is leaving. Safe for use by several threads. */
+/** Refuses new calls once the agent is shutting down. Safe for use by several threads. */
 public final class LeavingFilter implements CallFilter {
     private volatile boolean leaving;
 
-    /** Refuses all work from now on. */
+    /** Starts refusing all new calls. */
     public void leave() {
         leaving = true;
     }
 
-    /** Returns whether the agent is leaving. */
+    /** Returns whether new calls are refused. */
     public boolean isLeaving() {
         return leaving;
     }
@@ -20,7 +20,7 @@
     @Override
     public void handle(AgentCall call, CallHandler next) {
         if (leaving) {
-            call.refuse(ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "the endpoint is leaving");
+            call.refuse(ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "the agent of the endpoint is shutting down");
             return;
         }
         next.handle(call);
--- a/agent/src/main/java/org/jasminehub/agent/call/MetricsFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/MetricsFilter.java
@@ -3,14 +3,14 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * Counts calls by how they ended and shows how many run.
+ * Counts the calls that have ended, by result, and the calls that are running.
  *
  * <p>Metrics: {@code agent.calls.RESULT} (meter) and {@code agent.running} (counter). Safe for use by several threads.
  */
 public final class MetricsFilter implements CallFilter {
     private final MetricRegistry metrics;
 
-    /** Creates a filter that reports to {@code metrics}. */
+    /** Creates a filter that registers its metrics in {@code metrics}. */
     public MetricsFilter(MetricRegistry metrics) {
         this.metrics = metrics;
     }
--- a/agent/src/main/java/org/jasminehub/agent/call/RunningCalls.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/RunningCalls.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the calls that the agent has taken and not finished. Safe for use by several threads. */
+/** Counts the calls that have arrived at the agent and have not ended. Safe for use by several threads. */
 public final class RunningCalls implements CallFilter {
     private final AtomicInteger running = new AtomicInteger();
 
-    /** Returns how many calls run. */
+    /** Returns the number of running calls. */
     public int count() {
         return running.get();
     }
--- a/agent/src/main/java/org/jasminehub/agent/call/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/package-info.java
@@ -1,4 +1,4 @@
-/** Calls from entry instances and the filters they pass before they reach the endpoint. */
+/** Calls from entry instances, and the filters that process them before they are sent to the endpoint. */
 @NullMarked
 package org.jasminehub.agent.call;
 
--- a/agent/src/main/java/org/jasminehub/agent/engine/CallSink.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/CallSink.java
@@ -16,8 +16,10 @@
 import scala.Tuple2;
 
 /**
- * Sends the elements of a stream as chunks of a call's answer, only against credit; cancels the stream when the call
- * ends early. The materialized stage completes when the stream does.
+ * A sink that sends the elements of a stream as chunks of a call's response.
+ *
+ * <p>It requests an element only when the call has credit for a chunk, and cancels the stream if the call ends early.
+ * The materialized stage completes when the stream ends or is cancelled.
  */
 final class CallSink
         extends GraphStageWithMaterializedValue<SinkShape<org.apache.pekko.util.ByteString>, CompletionStage<Done>> {
@@ -50,7 +52,7 @@
                 @Override
                 public void onPush() {
                     call.chunk(toProtobuf(grab(in)));
-                    pullAgainstCredit();
+                    pullIfCredit();
                 }
 
                 @Override
@@ -69,8 +71,8 @@
 
         @Override
         public void preStart() {
-            AsyncCallback<Done> changed = createAsyncCallback(ignored -> onCallChanged());
-            call.onChange(() -> changed.invoke(Done.getInstance()));
+            AsyncCallback<Done> changeCallback = createAsyncCallback(ignored -> onCallChanged());
+            call.onChange(() -> changeCallback.invoke(Done.getInstance()));
             onCallChanged();
         }
 
@@ -80,10 +82,10 @@
                 cancelStage(new CallEndedException());
                 return;
             }
-            pullAgainstCredit();
+            pullIfCredit();
         }
 
-        private void pullAgainstCredit() {
+        private void pullIfCredit() {
             if (!hasBeenPulled(in) && !isClosed(in) && call.takeCredit()) {
                 pull(in);
             }
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointCallFailed.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointCallFailed.java
@@ -4,11 +4,11 @@
 import org.jasminehub.core.event.EventKind;
 
 /**
- * The endpoint gave no whole answer to a call.
+ * Emitted when the endpoint did not send a complete response to a call.
  *
- * @param requestId the request
- * @param attempt the attempt, counted from 1
- * @param reason what happened
+ * @param requestId the id of the request
+ * @param attempt the number of the attempt, counted from 1
+ * @param reason a description of the failure
  */
 public record EndpointCallFailed(String requestId, int attempt, String reason) implements Event {
     @Override
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointClient.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointClient.java
@@ -13,20 +13,20 @@
 import org.jasminehub.wire.generated.CallStart;
 import org.jasminehub.wire.generated.Header;
 
-/** Sends calls to the endpoint over HTTP, each exactly once. Safe for use by several threads. */
+/** Sends each call to the endpoint over HTTP exactly once, without retries. Safe for use by several threads. */
 public final class EndpointClient {
     private static final int MAX_CONNECTIONS = 512;
     private static final int MAX_OPEN_REQUESTS = 1_024;
 
     private final ActorSystem<?> system;
     private final Address endpoint;
-    private final ConnectionPoolSettings pool;
+    private final ConnectionPoolSettings poolSettings;
 
-    /** Creates a client of the endpoint at {@code endpoint}. */
+    /** Creates a client for the endpoint at {@code endpoint}. */
     public EndpointClient(ActorSystem<?> system, Address endpoint) {
         this.system = system;
         this.endpoint = endpoint;
-        this.pool = ConnectionPoolSettings.create(system.classicSystem())
+        this.poolSettings = ConnectionPoolSettings.create(system.classicSystem())
                 .withMaxConnections(MAX_CONNECTIONS)
                 .withMaxOpenRequests(MAX_OPEN_REQUESTS)
                 .withMaxRetries(0);
@@ -38,11 +38,11 @@
                 .singleRequest(
                         toRequest(start),
                         Http.get(system).defaultClientHttpsContext(),
-                        pool,
+                        poolSettings,
                         system.classicSystem().log());
     }
 
-    /** Reads {@code path} of the endpoint. */
+    /** Sends a GET request for {@code path} to the endpoint. */
     public CompletionStage<HttpResponse> get(String path) {
         return Http.get(system).singleRequest(HttpRequest.GET(endpoint.toUrl() + path));
     }
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
@@ -21,9 +21,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends a call to the endpoint and relays its answer: one chunk an event for streams, the bytes as they come otherwise.
+ * Sends calls to the endpoint and relays the responses: a stream as one chunk per event, and any other response in the
+ * pieces in which its bytes arrive.
  *
- * <p>A stream counts as whole only if the engine closed it with {@value #STREAM_END}. Safe for use by several threads.
+ * <p>A stream is complete only if the engine ended it with {@value #STREAM_END}. Safe for use by several threads.
  */
 public final class EndpointRelay implements CallHandler {
     private static final String STREAM_END = "[DONE]";
@@ -35,7 +36,10 @@
     private final boolean isModel;
     private final EventSink events;
 
-    /** Creates a relay; {@code isModel} tells an engine, whose requests may be repeated, from a plain service. */
+    /**
+     * Creates a relay; {@code isModel} is true for a model engine, whose requests may be retried, and false for a
+     * service.
+     */
     public EndpointRelay(ActorSystem<?> system, EndpointClient client, boolean isModel, EventSink events) {
         this.system = system;
         this.client = client;
@@ -58,7 +62,10 @@
         if (isModel && status >= FIRST_SERVER_ERROR_STATUS) {
             response.discardEntityBytes(system);
             call.refuse(
-                    ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, RETRY_AFTER_MILLIS, "the engine answered " + status);
+                    ErrorCode.ENDPOINT_FAILED,
+                    Outcome.UNKNOWN,
+                    RETRY_AFTER_MILLIS,
+                    "the engine responded with status " + status);
             return;
         }
         call.head(status, headersOf(response));
@@ -80,54 +87,54 @@
     }
 
     private void relayEvents(AgentCall call, Source<ServerSentEvent, NotUsed> eventStream) {
-        AtomicBoolean whole = new AtomicBoolean();
+        AtomicBoolean isComplete = new AtomicBoolean();
         Source<ByteString, NotUsed> chunks = eventStream
                 .map(ServerSentEvent::getData)
-                .takeWhile(data -> !isStreamEnd(data, whole))
+                .takeWhile(data -> !isStreamEnd(data, isComplete))
                 .map(ByteString::fromString);
-        run(call, chunks, whole);
+        run(call, chunks, isComplete);
     }
 
-    private static boolean isStreamEnd(String data, AtomicBoolean whole) {
+    private static boolean isStreamEnd(String data, AtomicBoolean isComplete) {
         if (data.equals(STREAM_END)) {
-            whole.set(true);
+            isComplete.set(true);
         }
-        return whole.get();
+        return isComplete.get();
     }
 
     private void relayBytes(AgentCall call, HttpResponse response) {
         Source<ByteString, NotUsed> chunks =
-                response.entity().getDataBytes().mapMaterializedValue(any -> NotUsed.getInstance());
+                response.entity().getDataBytes().mapMaterializedValue(ignored -> NotUsed.getInstance());
         run(call, chunks, new AtomicBoolean(true));
     }
 
-    private void run(AgentCall call, Source<ByteString, NotUsed> chunks, AtomicBoolean whole) {
+    private void run(AgentCall call, Source<ByteString, NotUsed> chunks, AtomicBoolean isComplete) {
         chunks.runWith(new CallSink(call), system).whenComplete((Done done, @Nullable Throwable failure) -> {
             if (call.hasEnded()) {
                 return;
             }
             if (failure != null) {
                 fail(call, failure);
-            } else if (whole.get()) {
+            } else if (isComplete.get()) {
                 call.end();
             } else {
-                refuseFailed(call, Outcome.UNKNOWN, "the engine ended its stream early");
+                reportFailure(call, Outcome.UNKNOWN, "the engine ended the stream before it was complete");
             }
         });
     }
 
     private void fail(AgentCall call, @Nullable Throwable failure) {
         Outcome outcome = isConnectFailure(failure) ? Outcome.NOT_RUN : Outcome.UNKNOWN;
-        refuseFailed(call, outcome, "the endpoint failed: " + failure);
+        reportFailure(call, outcome, "the call to the endpoint failed: " + failure);
     }
 
-    private void refuseFailed(AgentCall call, Outcome outcome, String message) {
+    private void reportFailure(AgentCall call, Outcome outcome, String message) {
         events.emit(
                 new EndpointCallFailed(call.start().getRequestId(), call.start().getAttempt(), message));
         call.refuse(ErrorCode.ENDPOINT_FAILED, outcome, RETRY_AFTER_MILLIS, message);
     }
 
-    /** Tells whether the connection was never made, so that it cannot have carried the request. */
+    /** Returns whether the connection was refused, in which case no part of the request was sent. */
     public static boolean isConnectFailure(@Nullable Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof StreamTcpException
--- a/agent/src/main/java/org/jasminehub/agent/engine/EngineEventKind.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EngineEventKind.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The events of an agent's dealings with its endpoint. */
+/** The kinds of events that concern calls to the endpoint. */
 public enum EngineEventKind implements EventKind {
-    /** The endpoint gave no whole answer to a call. */
+    /** The endpoint did not send a complete response to a call. */
     ENDPOINT_CALL_FAILED(5050, Severity.WARNING, "The endpoint gave no whole answer to a call.");
 
     private final int number;
--- a/agent/src/main/java/org/jasminehub/agent/engine/LoadReporter.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/LoadReporter.java
@@ -10,10 +10,11 @@
 import org.jasminehub.wire.generated.EndpointLoad;
 
 /**
- * Reads the engine's load report and turns it into the message for entry instances.
+ * Reads the engine's load report and converts it to the message for entry instances.
  *
- * <p>A plain service reports nothing, and so does an engine that does not answer: then only the agent's own state is
- * sent, which still tells peers that the agent lives. Safe for use by several threads.
+ * <p>For a plain service, the message contains only whether the agent accepts calls. If an engine does not respond with
+ * a valid report, the message says that the agent does not accept calls. In both cases the message still shows peers
+ * that the agent is alive. Safe for use by several threads.
  */
 public final class LoadReporter {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -22,28 +23,28 @@
     private final ActorSystem<?> system;
     private final EndpointClient client;
     private final boolean isModel;
-    private final BooleanSupplier accepting;
+    private final BooleanSupplier isAccepting;
     private final Consumer<EndpointLoad> sender;
 
-    /** Creates a reporter that hands each report to {@code sender}. */
+    /** Creates a reporter that passes each report to {@code sender}. */
     public LoadReporter(
             ActorSystem<?> system,
             EndpointClient client,
             boolean isModel,
-            BooleanSupplier accepting,
+            BooleanSupplier isAccepting,
             Consumer<EndpointLoad> sender) {
         this.system = system;
         this.client = client;
         this.isModel = isModel;
-        this.accepting = accepting;
+        this.isAccepting = isAccepting;
         this.sender = sender;
     }
 
-    /** Reads and sends one report; does not block. */
+    /** Reads the engine's load and sends one report; does not block. */
     public void report() {
         if (!isModel) {
             sender.accept(EndpointLoad.newBuilder()
-                    .setAccepting(accepting.getAsBoolean())
+                    .setAccepting(isAccepting.getAsBoolean())
                     .build());
             return;
         }
@@ -65,14 +66,14 @@
                     .setStepMillis(load.stepMillis())
                     .setPrefillTokensPerSecond(load.prefillTokensPerSecond())
                     .setAgeMillis(load.ageMillis())
-                    .setAccepting(accepting.getAsBoolean())
+                    .setAccepting(isAccepting.getAsBoolean())
                     .build();
         } catch (IOException e) {
             return EndpointLoad.newBuilder().setAccepting(false).build();
         }
     }
 
-    /** The engine's report. */
+    /** The load report of the engine. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     private record EngineLoad(
             int queuedRequests,
--- a/agent/src/main/java/org/jasminehub/agent/engine/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Sending calls to the endpoint and relaying its answers. */
+/** Sends calls to the endpoint and relays its responses. */
 @NullMarked
 package org.jasminehub.agent.engine;
 
--- a/agent/src/main/java/org/jasminehub/agent/lease/FencingNumberReader.java
+++ b/agent/src/main/java/org/jasminehub/agent/lease/FencingNumberReader.java
@@ -13,12 +13,15 @@
 import org.jasminehub.platform.log.LogService;
 
 /**
- * Reads the end of the platform's log, once after the agent's start, and teaches the gate the lowest valid numbers.
+ * Reads the end of the platform's log once after the start of the agent, and sets the lowest valid fencing numbers in
+ * the gate.
  *
- * <p>The holder of a live lease has renewed it within the lease's duration, so a window of records that is longer than
- * that at the log's highest rate shows every live lease, and the log's length does not matter.
+ * <p>The holder of a live lease has renewed it within the lease duration. The window of {@value #WINDOW_RECORDS}
+ * records covers more than that duration at the highest rate of the log, so it shows every live lease, and the cost of
+ * reading does not depend on the length of the log.
  *
- * <p>While the log is down nothing is learnt, so no order is taken; no lease can be renewed then either.
+ * <p>While the log is unavailable, the gate has no numbers and refuses every order. No lease can be renewed during that
+ * time either.
  *
  * <pre>{@code
  * new FencingNumberReader(log, gate, shards).read();
@@ -34,14 +37,16 @@
     private final List<ShardId> shards;
     private final LeaseRecordCodec codec = new LeaseRecordCodec();
 
-    /** Creates a reader for {@code shards}; all use of {@code gate} must hold its lock. */
+    /** Creates a reader for {@code shards}; every use of {@code gate} must hold the monitor of {@code gate}. */
     public FencingNumberReader(LogService log, OrderGate gate, Collection<ShardId> shards) {
         this.log = log;
         this.gate = gate;
         this.shards = List.copyOf(shards);
     }
 
-    /** Reads to the end that the log has now; the stage fails where the log does, and the caller may try again. */
+    /**
+     * Reads to the current end of the log; the stage fails if the log cannot be read, and the caller may then retry.
+     */
     public CompletionStage<Void> read() {
         return log.read(0, 1, NO_WAIT_MILLIS).thenCompose(this::readWindow);
     }
@@ -49,10 +54,10 @@
     private CompletionStage<Void> readWindow(LogPage bounds) {
         long startOffset = Math.max(bounds.firstOffset(), bounds.nextOffset() - WINDOW_RECORDS);
         return log.read(startOffset, MAX_RECORDS, NO_WAIT_MILLIS)
-                .thenCompose(page -> readOn(new LeaseTable(startOffset), page, bounds.nextOffset()));
+                .thenCompose(page -> readToEnd(new LeaseTable(startOffset), page, bounds.nextOffset()));
     }
 
-    private CompletionStage<Void> readOn(LeaseTable table, LogPage page, long endOffset) {
+    private CompletionStage<Void> readToEnd(LeaseTable table, LogPage page, long endOffset) {
         boolean hasDroppedUnreadRecords = page.firstOffset() > table.nextOffset();
         if (hasDroppedUnreadRecords) {
             return read();
@@ -63,14 +68,14 @@
         }
         boolean isAtEnd = page.records().isEmpty() || table.nextOffset() >= endOffset;
         if (isAtEnd) {
-            teach(table);
+            updateGate(table);
             return CompletableFuture.completedFuture(null);
         }
         return log.read(table.nextOffset(), MAX_RECORDS, NO_WAIT_MILLIS)
-                .thenCompose(next -> readOn(table, next, endOffset));
+                .thenCompose(next -> readToEnd(table, next, endOffset));
     }
 
-    private void teach(LeaseTable table) {
+    private void updateGate(LeaseTable table) {
         synchronized (gate) {
             shards.forEach(shard -> gate.raiseLowestValidNumber(shard, table.lowestValidNumber(shard)));
         }
--- a/agent/src/main/java/org/jasminehub/agent/lease/OrderFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/lease/OrderFilter.java
@@ -14,19 +14,19 @@
 import org.jasminehub.wire.generated.OrderRequest;
 
 /**
- * Hands on the orders that the gate takes and refuses the others.
+ * Forwards the orders that the gate admits and refuses all others.
  *
  * <pre>{@code
  * router.on(ControlRequest.BodyCase.ORDER, new OrderFilter(gate, engineOrders::send));
  * }</pre>
  *
- * <p>Orders are handed on one after the other in the order in which they were admitted. Safe for use by several threads.
+ * <p>Orders are forwarded one at a time, in the sequence in which they were admitted. Safe for use by several threads.
  */
 public final class OrderFilter implements ControlHandler {
     private final OrderGate gate;
     private final Function<OrderRequest, CompletionStage<OrderReply>> next;
 
-    /** Creates a filter; all use of {@code gate} must hold its lock. */
+    /** Creates a filter; every use of {@code gate} must hold the monitor of {@code gate}. */
     public OrderFilter(OrderGate gate, Function<OrderRequest, CompletionStage<OrderReply>> next) {
         this.gate = gate;
         this.next = next;
@@ -38,7 +38,7 @@
     }
 
     private CompletionStage<OrderReply> handle(OrderRequest order) {
-        // The engine gets an order before the next one is admitted: a lower number can never overtake a higher one.
+        // Each order is forwarded before the next one is admitted, so a lower number cannot overtake a higher one.
         synchronized (gate) {
             if (order.getShard().isBlank()) {
                 return refused(ErrorCode.PROTOCOL_VIOLATION, -1);
--- a/agent/src/main/java/org/jasminehub/agent/lease/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/lease/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps orders under outdated leases away from the endpoint. */
+/** Prevents orders that were sent under an outdated lease from reaching the endpoint. */
 @NullMarked
 package org.jasminehub.agent.lease;
 
--- a/agent/src/main/java/org/jasminehub/agent/operation/OperationFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/operation/OperationFilter.java
@@ -29,10 +29,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs calls that carry a ticket at most once and answers their repeats from memory; passes on all others.
+ * Runs the operations of calls that carry a ticket at most once and answers retries from the recorded result. Passes on
+ * calls without a ticket.
  *
- * <p>A run that was started goes on whatever becomes of the caller's connection, so that a repeat gets its result. The
- * service is told nothing of the ticket. Safe for use by several threads.
+ * <p>A run that has started continues even if the caller's connection is lost, so that a retry receives its result. The
+ * headers of the call, which include the ticket, are not sent to the service. Safe for use by several threads.
  */
 public final class OperationFilter implements CallFilter {
     private static final int BODY_TIMEOUT_MILLIS = 30_000;
@@ -43,7 +44,10 @@
     private final Predicate<Throwable> isUnsent;
     private final Map<OperationId, List<AgentCall>> waiting = new HashMap<>();
 
-    /** Creates a filter; {@code isUnsent} tells failures that prove that the service got no byte of a request. */
+    /**
+     * Creates a filter; {@code isUnsent} accepts failures after which no byte of a request can have reached the
+     * service.
+     */
     public OperationFilter(
             ActorSystem<?> system, EndpointClient client, OperationGuard guard, Predicate<Throwable> isUnsent) {
         this.system = system;
@@ -81,12 +85,12 @@
     }
 
     private void run(OperationId id, CallStart start) {
-        CallStart bare = start.toBuilder().clearHeaders().build();
-        client.send(bare)
+        CallStart withoutHeaders = start.toBuilder().clearHeaders().build();
+        client.send(withoutHeaders)
                 .thenCompose(response -> response.entity()
                         .toStrict(BODY_TIMEOUT_MILLIS, system)
                         .thenApply(body -> resultOf(response, body)))
-                .whenComplete((result, failure) -> conclude(id, result, failure));
+                .whenComplete((result, failure) -> complete(id, result, failure));
     }
 
     private static OperationResult resultOf(HttpResponse response, HttpEntity.Strict body) {
@@ -96,7 +100,7 @@
                 body.getData().toArray());
     }
 
-    private void conclude(OperationId id, @Nullable OperationResult result, @Nullable Throwable failure) {
+    private void complete(OperationId id, @Nullable OperationResult result, @Nullable Throwable failure) {
         OperationAnswer answer;
         List<AgentCall> calls;
         synchronized (this) {
@@ -110,7 +114,7 @@
         if (result != null) {
             return guard.finish(id, result);
         }
-        return failure != null && isUnsent.test(failure) ? guard.failUnsent(id) : guard.loseAnswer(id);
+        return failure != null && isUnsent.test(failure) ? guard.finishUnsent(id) : guard.finishInDoubt(id);
     }
 
     private static void answer(AgentCall call, OperationAnswer answer) {
--- a/agent/src/main/java/org/jasminehub/agent/operation/OperationGuard.java
+++ b/agent/src/main/java/org/jasminehub/agent/operation/OperationGuard.java
@@ -7,8 +7,8 @@
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.identity.InstanceId;
 import org.jasminehub.core.operation.AgentIncarnation;
+import org.jasminehub.core.operation.AtMostOnceGuard;
 import org.jasminehub.core.operation.GuardDecision;
-import org.jasminehub.core.operation.HomeGuard;
 import org.jasminehub.core.operation.LedgerLimits;
 import org.jasminehub.core.operation.OperationAnswer;
 import org.jasminehub.core.operation.OperationId;
@@ -24,25 +24,29 @@
 import org.jasminehub.wire.generated.Hello;
 import org.jasminehub.wire.generated.TicketReply;
 
-/** Gives the threads of an agent their turn at its {@link HomeGuard}. Safe for use by several threads. */
+/**
+ * Synchronizes access to an agent's {@link AtMostOnceGuard} and handles operation messages. Safe for use by several
+ * threads.
+ */
 public final class OperationGuard {
-    private final HomeGuard guard;
+    private final AtMostOnceGuard guard;
     private final Clock clock;
 
-    /** Creates the guard of an agent's service. */
-    public OperationGuard(HomeGuard guard, Clock clock) {
+    /** Creates a synchronized wrapper of {@code guard}. */
+    public OperationGuard(AtMostOnceGuard guard, Clock clock) {
         this.guard = guard;
         this.clock = clock;
     }
 
-    /** Creates the guard of the process that {@code hello} names, for {@code service}. */
+    /** Creates the guard of {@code service} at the instance and incarnation that {@code hello} contains. */
     public static OperationGuard create(Hello hello, String service, Clock clock, EventSink events) {
         AgentIncarnation self = new AgentIncarnation(new InstanceId(hello.getInstance()), hello.getIncarnation());
-        HomeGuard guard = new HomeGuard(self, service, OperationTimes.DEFAULT, LedgerLimits.DEFAULT, clock, events);
+        AtMostOnceGuard guard =
+                new AtMostOnceGuard(self, service, OperationTimes.DEFAULT, LedgerLimits.DEFAULT, clock, events);
         return new OperationGuard(guard, clock);
     }
 
-    /** Answers a message of an entry instance. */
+    /** Handles a control request of an entry instance that contains an operation message. */
     public CompletionStage<ControlReply.Builder> onRequest(ControlRequest request) {
         ControlReply.Builder reply = OperationMessageCodec.read(
                         request.getTicket().getIdempotencyKey())
@@ -62,12 +66,12 @@
         return guard.finish(id, result);
     }
 
-    synchronized OperationAnswer loseAnswer(OperationId id) {
-        return guard.loseAnswer(id);
+    synchronized OperationAnswer finishInDoubt(OperationId id) {
+        return guard.finishInDoubt(id);
     }
 
-    synchronized OperationAnswer failUnsent(OperationId id) {
-        return guard.failUnsent(id);
+    synchronized OperationAnswer finishUnsent(OperationId id) {
+        return guard.finishUnsent(id);
     }
 
     private synchronized OperationMessage answer(OperationMessage message) {
--- a/agent/src/main/java/org/jasminehub/agent/operation/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/operation/package-info.java
@@ -1,4 +1,4 @@
-/** The agent's side of operations that run at most once. */
+/** The agent's part in running operations at most once. */
 @NullMarked
 package org.jasminehub.agent.operation;
 
--- a/agent/src/main/java/org/jasminehub/agent/package-info.java
+++ b/agent/src/main/java/org/jasminehub/agent/package-info.java
@@ -1,4 +1,7 @@
-/** The process beside each endpoint: the only one that talks to a model engine or plain service. */
+/**
+ * The agent, a process that runs beside each endpoint. Only the agent connects to the endpoint, which is a model engine
+ * or a plain service.
+ */
 @NullMarked
 package org.jasminehub.agent;
 
--- a/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
+++ b/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
@@ -42,7 +42,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Holders, log, agent and an engine that ignores fencing numbers, over real sockets; only the time is simulated. */
+/**
+ * Tests fencing with lease holders, a log, an agent and an engine that ignores fencing numbers. The connections are
+ * real sockets; only the time is simulated.
+ */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class OrderFilterTest {
     private static final ShardId SHARD = new ShardId("shard-0");
@@ -53,7 +56,7 @@
 
     private final ManualClock clock = new ManualClock(0);
     private final AtomicLong nonces = new AtomicLong();
-    private final List<Long> takenByEngine = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> receivedByEngine = Collections.synchronizedList(new ArrayList<>());
     private final OrderGate gate = new OrderGate(INCARNATION, event -> {});
     private ActorSystem<Void> system;
     private WireGroup group;
@@ -71,7 +74,7 @@
         log = new LogStandin(system, 0);
         logService = new HttpLogService(system, log.address(), TIMEOUT_MILLIS);
         agent = startAgent(gate);
-        client = new WireClient(group, "127.0.0.1", agent.port(), () -> hello("entry-1"), new SilentListener());
+        client = new WireClient(group, "127.0.0.1", agent.port(), () -> hello("entry-1"), new NoOpListener());
         first = new Holder("entry-1");
         second = new Holder("entry-2");
     }
@@ -86,41 +89,41 @@
     }
 
     @Test
-    void testHolderThatWasFrozenPastItsLeaseReachesNoEngine() {
-        learn(gate);
+    void testOrderOfHolderPausedBeyondItsLeaseIsRefused() {
+        readFencingNumbers(gate);
         clock.advanceMillis(EXPIRY_MILLIS);
         first.claim();
-        long frozenNumber = first.number();
-        assertTrue(order(frozenNumber).getAccepted());
+        long pausedNumber = first.number();
+        assertTrue(order(pausedNumber).getAccepted());
 
         clock.advanceMillis(EXPIRY_MILLIS);
         second.claim();
         assertTrue(order(second.number()).getAccepted());
 
-        OrderReply afterThaw = order(frozenNumber);
-        assertFalse(afterThaw.getAccepted());
-        assertEquals(ErrorCode.ORDER_FENCED.code(), afterThaw.getCode());
-        assertEquals(second.number(), afterThaw.getNewestFencingNumber());
-        assertEquals(List.of(frozenNumber, second.number()), takenByEngine);
+        OrderReply afterResume = order(pausedNumber);
+        assertFalse(afterResume.getAccepted());
+        assertEquals(ErrorCode.ORDER_FENCED.code(), afterResume.getCode());
+        assertEquals(second.number(), afterResume.getNewestFencingNumber());
+        assertEquals(List.of(pausedNumber, second.number()), receivedByEngine);
         assertFalse(first.holds());
     }
 
     @Test
-    void testAgentThatHasJustStartedTakesNoOrderOnAnOldNumber() {
+    void testNewlyStartedAgentRefusesOrderWithOldNumber() {
         clock.advanceMillis(EXPIRY_MILLIS);
         first.claim();
         clock.advanceMillis(EXPIRY_MILLIS);
         second.claim();
 
-        assertEquals(ErrorCode.NOT_READY.code(), order(first.numberGiven).getCode());
-        learn(gate);
-        assertEquals(ErrorCode.ORDER_FENCED.code(), order(first.numberGiven).getCode());
+        assertEquals(ErrorCode.NOT_READY.code(), order(first.claimedNumber).getCode());
+        readFencingNumbers(gate);
+        assertEquals(ErrorCode.ORDER_FENCED.code(), order(first.claimedNumber).getCode());
         assertTrue(order(second.number()).getAccepted());
-        assertEquals(List.of(second.number()), takenByEngine);
+        assertEquals(List.of(second.number()), receivedByEngine);
     }
 
     @Test
-    void testNothingIsTakenWhileTheLogIsDown() {
+    void testOrdersAreRefusedWhileLogIsDown() {
         log.setDown(true);
         CompletableFuture<Void> reading = reader(gate).read().toCompletableFuture();
         assertEquals(
@@ -131,7 +134,7 @@
     }
 
     @Test
-    void testClaimWhoseAnswerWasLostIsFoundByReadingOn() {
+    void testClaimWithLostResponseIsFoundInLog() {
         log.loseAnswers(1);
         clock.advanceMillis(EXPIRY_MILLIS);
         first.claim();
@@ -139,10 +142,10 @@
         assertEquals(1, log.nextOffset());
     }
 
-    private WireServer startAgent(OrderGate itsGate) {
+    private WireServer startAgent(OrderGate targetGate) {
         ControlRouter router = new ControlRouter();
-        router.on(ControlRequest.BodyCase.ORDER, new OrderFilter(itsGate, order -> {
-            takenByEngine.add(order.getFencingNumber());
+        router.on(ControlRequest.BodyCase.ORDER, new OrderFilter(targetGate, order -> {
+            receivedByEngine.add(order.getFencingNumber());
             return CompletableFuture.completedFuture(
                     OrderReply.newBuilder().setAccepted(true).build());
         }));
@@ -156,12 +159,12 @@
                 event -> {});
     }
 
-    private FencingNumberReader reader(OrderGate itsGate) {
-        return new FencingNumberReader(logService, itsGate, List.of(SHARD));
+    private FencingNumberReader reader(OrderGate targetGate) {
+        return new FencingNumberReader(logService, targetGate, List.of(SHARD));
     }
 
-    private void learn(OrderGate itsGate) {
-        reader(itsGate).read().toCompletableFuture().join();
+    private void readFencingNumbers(OrderGate targetGate) {
+        reader(targetGate).read().toCompletableFuture().join();
     }
 
     private OrderReply order(long number) {
@@ -183,12 +186,14 @@
                 .build();
     }
 
-    /** An entry instance's part in the lease: reads the log, appends what is due, and knows whether it holds. */
+    /**
+     * The lease handling of an entry instance: reads the log, appends due records and knows whether it holds the lease.
+     */
     private final class Holder {
         private final LeaseRecordCodec codec = new LeaseRecordCodec();
         private final LeaseManager manager;
         private long nextOffset;
-        private long numberGiven;
+        private long claimedNumber;
 
         Holder(String name) {
             manager = new LeaseManager(
@@ -205,15 +210,15 @@
         void claim() {
             read();
             clock.advanceMillis(EXPIRY_MILLIS);
-            for (LeaseRecord due : manager.poll(shard -> 0, clock.monotonicMillis())) {
+            for (LeaseRecord dueRecord : manager.poll(shard -> 0, clock.monotonicMillis())) {
                 logService
-                        .append(codec.encode(due))
+                        .append(codec.encode(dueRecord))
                         .handle((offset, failure) -> offset)
                         .toCompletableFuture()
                         .join();
             }
             read();
-            numberGiven = number();
+            claimedNumber = number();
         }
 
         long number() {
@@ -236,7 +241,7 @@
         }
     }
 
-    private static final class SilentListener implements PeerListener {
+    private static final class NoOpListener implements PeerListener {
         @Override
         public void onHello(Hello hello) {}
 
--- a/bench/src/main/java/org/jasminehub/bench/operation/OperationBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/operation/OperationBench.java
@@ -7,8 +7,8 @@
 import org.jasminehub.core.identity.InstanceId;
 import org.jasminehub.core.identity.WorkspaceId;
 import org.jasminehub.core.operation.AgentIncarnation;
+import org.jasminehub.core.operation.AtMostOnceGuard;
 import org.jasminehub.core.operation.GuardDecision;
-import org.jasminehub.core.operation.HomeGuard;
 import org.jasminehub.core.operation.HomeTable;
 import org.jasminehub.core.operation.LedgerLimits;
 import org.jasminehub.core.operation.OperationId;
@@ -96,7 +96,7 @@
         AgentIncarnation self = new AgentIncarnation(new InstanceId("bookings-1"), 1);
         OperationTimes times = OperationTimes.of(600_000, 300_000, 60_000, 5_000);
         LedgerLimits limits = new LedgerLimits(OPERATIONS, 1, RESULT_BYTES, OPERATIONS * (long) RESULT_BYTES, 1);
-        HomeGuard guard = new HomeGuard(self, "bookings", times, limits, clock, event -> {});
+        AtMostOnceGuard guard = new AtMostOnceGuard(self, "bookings", times, limits, clock, event -> {});
         guard.learn(new HomeTable("bookings", 1, List.of(self)));
         guard.confirm(1, 0);
         List<OperationId> ids = new ArrayList<>();
@@ -115,7 +115,7 @@
         out.printf("Old homes to ask: %d%n", guard.missingHandovers().size());
     }
 
-    private static void runOnce(HomeGuard guard, OperationId id) {
+    private static void runOnce(AtMostOnceGuard guard, OperationId id) {
         GuardDecision decision = guard.requestTicket(id, "digest");
         if (decision instanceof GuardDecision.TicketGranted granted
                 && guard.start(granted.ticket(), "digest") instanceof GuardDecision.RunNow) {
--- a/core/src/main/java/org/jasminehub/core/operation/AgentIncarnation.java
+++ b/core/src/main/java/org/jasminehub/core/operation/AgentIncarnation.java
@@ -4,13 +4,13 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * One start of an agent's process.
+ * Identifies one run of an agent's process.
  *
- * @param agent the agent's instance
- * @param incarnation a number that grows with every start
+ * @param agent the agent's instance id
+ * @param incarnation a number that increases with every start of the process
  */
 public record AgentIncarnation(InstanceId agent, long incarnation) {
-    /** Creates a checked name. */
+    /** Creates an incarnation; throws if its number is negative. */
     public AgentIncarnation {
         Checks.notNegative("incarnation", incarnation);
     }
--- a/core/src/main/java/org/jasminehub/core/operation/HomeGuard.java
+++ b/core/src/main/java/org/jasminehub/core/operation/AtMostOnceGuard.java
@@ -8,14 +8,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Lets an agent run each operation of its service at most once and says truthfully what is known of it.
+ * Ensures that an agent runs each operation of its service at most once, and reports the outcome without guessing.
  *
- * <p>An operation starts here only under an unexpired ticket of this incarnation, while this agent is the key's home
- * by a table that it confirmed within its lease, and once no earlier home can run it any more. Whatever it says "not
- * run" of, it remembers and never starts.
+ * <p>An operation is started only if all of these conditions hold:
+ *
+ * <ul>
+ *   <li>the request carries an unexpired ticket that was issued by this incarnation;
+ *   <li>this agent is the key's home in the newest home table that it knows, and it has confirmed that table within the
+ *       lease duration;
+ *   <li>no previous home of the key can still run the operation.
+ * </ul>
+ *
+ * <p>The last two conditions do not apply to a {@link BoundKey}, which only its issuer may run. If the guard has
+ * reported an operation as not run, it never starts that operation later.
  *
  * <pre>{@code
- * GuardDecision decision = guard.start(ticket, id, bodyDigest);
+ * GuardDecision decision = guard.start(ticket, bodyDigest);
  * if (decision instanceof GuardDecision.RunNow) {
  *     callService(...);
  * }
@@ -23,19 +31,19 @@
  *
  * <p>Arguments must not be null. Not safe for use by several threads.
  */
-public final class HomeGuard {
+public final class AtMostOnceGuard {
     private final AgentIncarnation self;
     private final String service;
     private final OperationTimes times;
     private final Clock clock;
     private final EventSink events;
     private final OperationLedger ledger;
-    private final TableHistory history;
+    private final HomeTableHistory history;
     private long leaseUntilMillis;
     private long lastSerial;
 
-    /** Creates the guard of a process that has just started and remembers nothing. */
-    public HomeGuard(
+    /** Creates the guard of a process that has just started, with an empty ledger and no home table. */
+    public AtMostOnceGuard(
             AgentIncarnation self,
             String service,
             OperationTimes times,
@@ -48,17 +56,17 @@
         this.clock = clock;
         this.events = events;
         this.ledger = new OperationLedger(limits, times.retentionMillis());
-        this.history = new TableHistory(self, times.quarantineMillis());
+        this.history = new HomeTableHistory(self, times.quarantineMillis());
         this.leaseUntilMillis = clock.monotonicMillis();
     }
 
-    /** Returns a fresh key that only this incarnation runs. */
+    /** Issues a new key whose operation only this incarnation may run. */
     public BoundKey issueKey() {
         lastSerial++;
         return new BoundKey(self, clock.monotonicMillis(), lastSerial);
     }
 
-    /** Takes a table read from the log; older ones and repeats change nothing. */
+    /** Applies a home table that was read from the log; ignores tables that are not newer than the current one. */
     public void learn(HomeTable table) {
         if (history.learn(table, clock.monotonicMillis())) {
             events.emit(new HomeTableLearned(
@@ -67,8 +75,9 @@
     }
 
     /**
-     * Renews the lease, given proof that the table of {@code epoch} was in force at a point of the log that was
-     * written after {@code askedMillis} by this agent's monotonic clock.
+     * Renews the lease if {@code epoch} is the current epoch. The caller must have verified that the table of {@code
+     * epoch} was in force at a log position that was written after {@code askedMillis}, by this agent's monotonic
+     * clock.
      */
     public void confirm(long epoch, long askedMillis) {
         if (epoch == history.epoch()) {
@@ -76,12 +85,12 @@
         }
     }
 
-    /** Decides whether a request may be started here, before it is sent. */
+    /** Decides whether a request may be sent to this agent, and issues a ticket if so. */
     public GuardDecision requestTicket(OperationId id, String bodyDigest) {
         long nowMillis = clock.monotonicMillis();
         Optional<OperationRecord> known = ledger.find(id, nowMillis);
-        if (known.isPresent() && !isRunningSame(known.get(), bodyDigest)) {
-            return answerKnown(known.get(), bodyDigest);
+        if (known.isPresent() && !isSameRequestRunning(known.get(), bodyDigest)) {
+            return answerFromRecord(known.get(), bodyDigest);
         }
         GuardDecision refusal = known.isPresent() ? null : refuseUnlessHome(id, nowMillis);
         if (refusal != null) {
@@ -90,15 +99,15 @@
         return new GuardDecision.TicketGranted(new OperationTicket(self, id, nowMillis + times.ticketMillis()));
     }
 
-    /** Decides whether the request must now be given to the service. */
+    /** Decides whether the request that carries {@code ticket} must now be sent to the service. */
     public GuardDecision start(OperationTicket ticket, String bodyDigest) {
         long nowMillis = clock.monotonicMillis();
         OperationId id = ticket.id();
         Optional<OperationRecord> known = ledger.find(id, nowMillis);
         if (known.isPresent()) {
-            return isRunningSame(known.get(), bodyDigest)
+            return isSameRequestRunning(known.get(), bodyDigest)
                     ? new GuardDecision.AwaitRun(id)
-                    : answerKnown(known.get(), bodyDigest);
+                    : answerFromRecord(known.get(), bodyDigest);
         }
         if (!ticket.issuer().equals(self) || nowMillis > ticket.expiresMillis()) {
             return answer(id, OperationAnswer.unknown(ErrorCode.TICKET_INVALID));
@@ -108,56 +117,56 @@
             return refusal;
         }
         if (!ledger.hasRoomToRun()) {
-            return answer(id, revokeUnknown(id, ErrorCode.OVERLOADED, nowMillis));
+            return answer(id, recordRevocation(id, ErrorCode.OVERLOADED, nowMillis));
         }
         ledger.add(new OperationRecord(id, bodyDigest, OperationState.RUNNING, null, nowMillis));
         events.emit(new OperationStarted(id.toString(), self.toString(), history.epoch()));
         return new GuardDecision.RunNow(id);
     }
 
-    /** Makes sure that the operation never runs, unless it has been started; the answer says which. */
+    /** Revokes the operation so that it never runs; if it has been started, the answer reports what is known of it. */
     public GuardDecision revoke(OperationId id, String bodyDigest) {
         long nowMillis = clock.monotonicMillis();
         Optional<OperationRecord> known = ledger.find(id, nowMillis);
         if (known.isPresent()) {
-            return answerKnown(known.get(), bodyDigest);
+            return answerFromRecord(known.get(), bodyDigest);
         }
         GuardDecision refusal = refuseUnlessHome(id, nowMillis);
         if (refusal != null) {
             return refusal;
         }
-        return answer(id, revokeUnknown(id, ErrorCode.OPERATION_REVOKED, nowMillis));
+        return answer(id, recordRevocation(id, ErrorCode.OPERATION_REVOKED, nowMillis));
     }
 
-    /** Takes the service's answer. */
+    /** Records the response of the service. */
     public OperationAnswer finish(OperationId id, OperationResult result) {
         ledger.finish(id, result);
         events.emit(new OperationFinished(id.toString(), OperationState.DONE.name(), result.status()));
         return OperationAnswer.done(result);
     }
 
-    /** Takes the news that the request reached the service or may have, and that its answer is lost. */
-    public OperationAnswer loseAnswer(OperationId id) {
-        ledger.doubt(id);
+    /** Records that the request may have reached the service and that its response is lost. */
+    public OperationAnswer finishInDoubt(OperationId id) {
+        ledger.markInDoubt(id);
         events.emit(new OperationFinished(id.toString(), OperationState.IN_DOUBT.name(), 0));
         return OperationAnswer.unknown(ErrorCode.OUTCOME_UNKNOWN);
     }
 
-    /** Takes the proof that no byte of the request reached the service. */
-    public OperationAnswer failUnsent(OperationId id) {
-        ledger.revokeUnsent(id);
+    /** Records that no byte of the request reached the service. */
+    public OperationAnswer finishUnsent(OperationId id) {
+        ledger.markRevoked(id);
         events.emit(new OperationFinished(id.toString(), OperationState.REVOKED.name(), 0));
         return OperationAnswer.notRun(ErrorCode.ENDPOINT_FAILED);
     }
 
-    /** Returns the old homes that should be asked for a {@link Handover}. */
+    /** Returns the previous homes from which a {@link Handover} should be requested. */
     public Set<AgentIncarnation> missingHandovers() {
         return history.missingHandovers(clock.monotonicMillis());
     }
 
     /**
-     * Gives the keys that {@code table} moves to {@code to}; returns null where this agent knows a newer table, which
-     * the asker must learn first.
+     * Hands over the keys that {@code table} moves to {@code to}. Returns null if this agent knows a newer table; the
+     * new home must learn that table first.
      */
     public @Nullable Handover handOver(HomeTable table, AgentIncarnation to) {
         learn(table);
@@ -166,13 +175,13 @@
         }
         long nowMillis = clock.monotonicMillis();
         var records = ledger.matching(id -> !isBound(id) && table.isHome(to, id), nowMillis).stream()
-                .map(operation -> operation.movedBy(nowMillis))
+                .map(operation -> operation.sentAt(nowMillis))
                 .toList();
         events.emit(new HandoverGiven(service, self.toString(), to.toString(), table.epoch(), records.size()));
         return new Handover(self, to, table.epoch(), records, history.openQuarantines(nowMillis));
     }
 
-    /** Takes an old home's handover; one for another incarnation or an older table is ignored. */
+    /** Applies a handover from a previous home; ignores it if it is for another incarnation or another table. */
     public void receive(Handover handover) {
         if (!handover.to().equals(self) || handover.sealedEpoch() != history.epoch()) {
             return;
@@ -185,7 +194,7 @@
         events.emit(new HandoverTaken(service, self.toString(), handover.from().toString(), handover.sealedEpoch()));
     }
 
-    private OperationAnswer revokeUnknown(OperationId id, ErrorCode code, long nowMillis) {
+    private OperationAnswer recordRevocation(OperationId id, ErrorCode code, long nowMillis) {
         if (!ledger.hasRoomToRevoke()) {
             return OperationAnswer.unknown(ErrorCode.OVERLOADED);
         }
@@ -214,7 +223,10 @@
         return null;
     }
 
-    /** A bound key that is unknown here before it can have been forgotten has not run; later, that is not known. */
+    /**
+     * Checks a bound key that has no record. While the record cannot have expired, its absence proves that the
+     * operation has not run; after that, the outcome is unknown.
+     */
     private @Nullable GuardDecision refuseUnlessIssued(OperationId id, BoundKey key, long nowMillis) {
         if (!key.issuer().equals(self)) {
             return answer(id, OperationAnswer.unknown(ErrorCode.OUTCOME_UNKNOWN));
@@ -226,15 +238,15 @@
         if (ageMillis <= times.windowMillis()) {
             return null;
         }
-        boolean canBeForgotten = ageMillis > times.retentionMillis();
+        boolean canHaveExpired = ageMillis > times.retentionMillis();
         return answer(
                 id,
-                canBeForgotten
+                canHaveExpired
                         ? OperationAnswer.unknown(ErrorCode.IDEMPOTENCY_KEY_EXPIRED)
                         : OperationAnswer.notRun(ErrorCode.IDEMPOTENCY_KEY_EXPIRED));
     }
 
-    private GuardDecision answerKnown(OperationRecord known, String bodyDigest) {
+    private GuardDecision answerFromRecord(OperationRecord known, String bodyDigest) {
         if (!known.matchesBody(bodyDigest)) {
             return answer(known.id(), OperationAnswer.notRun(ErrorCode.IDEMPOTENCY_KEY_REUSED));
         }
@@ -248,7 +260,7 @@
         return new GuardDecision.Answered(answer);
     }
 
-    private static boolean isRunningSame(OperationRecord known, String bodyDigest) {
+    private static boolean isSameRequestRunning(OperationRecord known, String bodyDigest) {
         return known.state() == OperationState.RUNNING && known.matchesBody(bodyDigest);
     }
 
--- a/core/src/main/java/org/jasminehub/core/operation/BoundKey.java
+++ b/core/src/main/java/org/jasminehub/core/operation/BoundKey.java
@@ -7,20 +7,21 @@
 import org.jasminehub.core.identity.InstanceId;
 
 /**
- * An Idempotency-Key that an agent issued: it names the one incarnation that may run its operation.
+ * An Idempotency-Key issued by an agent, which binds the operation to the incarnation that issued the key.
  *
- * <p>It needs no table of homes and no log. Its text is opaque to callers.
+ * <p>Only that incarnation may run the operation, so neither a home table nor the log is needed. The text form is
+ * opaque to callers.
  *
- * @param issuer the agent's incarnation
- * @param issuedMillis when it was issued, by that incarnation's monotonic clock
- * @param serial unique at that incarnation
+ * @param issuer the incarnation that issued the key
+ * @param issuedMillis the time of issue, by the monotonic clock of {@code issuer}
+ * @param serial a number that is unique among the keys of {@code issuer}
  */
 public record BoundKey(AgentIncarnation issuer, long issuedMillis, long serial) {
     private static final String PREFIX = "jh1";
     private static final char SEPARATOR = '~';
     private static final int PART_COUNT = 5;
 
-    /** Returns the key as callers send it. */
+    /** Returns the text form of the key, as callers send it. */
     public String text() {
         return PREFIX
                 + SEPARATOR
@@ -33,7 +34,7 @@
                 + serial;
     }
 
-    /** Returns the key that {@code text} holds, or nothing where it is a key of the caller's own making. */
+    /** Parses {@code text}; returns empty if it is a key that a caller generated. */
     public static Optional<BoundKey> parse(String text) {
         List<String> parts = Splitter.on(SEPARATOR).splitToList(text);
         if (parts.size() != PART_COUNT
--- a/core/src/main/java/org/jasminehub/core/operation/GuardDecision.java
+++ b/core/src/main/java/org/jasminehub/core/operation/GuardDecision.java
@@ -2,21 +2,21 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What an agent decides when it is asked about an operation. */
+/** An agent's decision on a ticket request, a start or a revocation of an operation. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.MINIMAL_CLASS)
 public sealed interface GuardDecision {
-    /** The operation may be started here, once, while the ticket is valid. */
+    /** The operation may be started once at this agent while the ticket is valid. */
     record TicketGranted(OperationTicket ticket) implements GuardDecision {}
 
-    /** The operation must now be given to the service; this is said once for each operation. */
+    /** The request must now be sent to the service; returned at most once per operation. */
     record RunNow(OperationId id) implements GuardDecision {}
 
-    /** The operation runs already; its answer is this request's answer too. */
+    /** The operation is already running; its answer also answers this request. */
     record AwaitRun(OperationId id) implements GuardDecision {}
 
-    /** The answer is final. */
+    /** The operation has a final answer. */
     record Answered(OperationAnswer answer) implements GuardDecision {}
 
-    /** This agent is not the key's home under the table that it knows; nothing is said of the operation. */
+    /** This agent is not the key's home in its newest home table; the decision implies nothing about the operation. */
     record WrongHome(long epoch) implements GuardDecision {}
 }
--- a/core/src/main/java/org/jasminehub/core/operation/Handover.java
+++ b/core/src/main/java/org/jasminehub/core/operation/Handover.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What an old home tells a new one; from then on the old home starts none of the keys that moved.
+ * The state that the previous home of some keys passes to their new home. Once it has created the handover, the
+ * previous home starts no operation whose key has moved.
  *
- * @param from the old home
+ * @param from the previous home
  * @param to the new home
- * @param sealedEpoch the table that moved the keys
- * @param records what the old home remembers of those keys; times are ages
- * @param quarantines keys that the old home itself had to leave alone
+ * @param sealedEpoch the epoch of the home table that moved the keys
+ * @param records the operation records of the moved keys, with ages in place of times
+ * @param quarantines quarantines that are still open at the previous home
  */
 public record Handover(
         AgentIncarnation from,
@@ -17,7 +18,7 @@
         long sealedEpoch,
         List<OperationRecord> records,
         List<OpenQuarantine> quarantines) {
-    /** Creates a handover. */
+    /** Creates a handover with copies of the lists. */
     public Handover {
         records = List.copyOf(records);
         quarantines = List.copyOf(quarantines);
--- a/core/src/main/java/org/jasminehub/core/operation/HandoverGiven.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HandoverGiven.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** An agent handed keys over to their new home. */
+/** Emitted when an agent has handed keys over to their new home. */
 public record HandoverGiven(String service, String agent, String successor, long epoch, int operationCount)
         implements Event {
     @Override
--- a/core/src/main/java/org/jasminehub/core/operation/HandoverTaken.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HandoverTaken.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** An agent took over keys from their old home. */
+/** Emitted when an agent has received a handover from the previous home of keys. */
 public record HandoverTaken(String service, String agent, String predecessor, long epoch) implements Event {
     @Override
     public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/operation/HomeTable.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HomeTable.java
@@ -8,30 +8,30 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Which agent answers for which operation key of a service; the key's home.
+ * Maps the operation keys of a service to their homes, the agents that are responsible for them.
  *
- * <p>Rendezvous hashing over the agents' names, so a change of one agent moves only its keys.
+ * <p>Uses rendezvous hashing over the names of the agents, so adding or removing an agent moves only that agent's keys.
  *
  * @param service the service
- * @param epoch the table's number, counted from 1 without gaps
- * @param members the agents, each with the incarnation that holds its keys
+ * @param epoch the number of the table, counted from 1 without gaps
+ * @param members the agents, each with the incarnation that is responsible for its keys
  */
 public record HomeTable(String service, long epoch, List<AgentIncarnation> members) {
-    /** Creates a checked table. */
+    /** Creates a table; throws if the service is blank or the epoch is not positive. */
     public HomeTable {
         Checks.notBlank("service", service);
         Checks.positive("epoch", epoch);
         members = List.copyOf(members);
     }
 
-    /** Returns the home of {@code id}, or nothing where the table is empty. */
+    /** Returns the home of {@code id}, or empty if the table has no members. */
     public Optional<AgentIncarnation> home(OperationId id) {
         return members.stream()
                 .max(Comparator.<AgentIncarnation>comparingLong(member -> score(id, member))
                         .thenComparing(AgentIncarnation::agent));
     }
 
-    /** Tells whether {@code member} is the home of {@code id}. */
+    /** Returns whether {@code member} is the home of {@code id}. */
     public boolean isHome(AgentIncarnation member, OperationId id) {
         return home(id).filter(member::equals).isPresent();
     }
--- a/core/src/main/java/org/jasminehub/core/operation/TableHistory.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HomeTableHistory.java
@@ -10,27 +10,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The tables of homes that an agent has learnt, and whether an earlier home of a key may still run it.
+ * The home tables that an agent has received, from which it determines whether a previous home of a key may still run
+ * an operation.
  *
- * <p>A key is settled here once the home before this one has handed it over, or has been out of the table for the
- * quarantine time. Not safe for use by several threads.
+ * <p>A key is settled once its previous home has handed it over and no quarantine passed on with the handover covers
+ * it. Without a handover, it is settled once the quarantine time has passed since the table that moved the key was
+ * received. Not safe for use by several threads.
  */
-final class TableHistory {
+final class HomeTableHistory {
     private static final long FIRST_EPOCH = 1;
 
     private record LearnedTable(HomeTable table, long learnedMillis) {}
 
-    private record OpenUntil(OpenQuarantine quarantine, long untilMillis) {}
+    private record InheritedQuarantine(OpenQuarantine quarantine, long untilMillis) {}
 
-    private record ReceivedHandover(long sealedEpoch, List<OpenUntil> open) {}
+    private record ReceivedHandover(long sealedEpoch, List<InheritedQuarantine> open) {}
 
     private final AgentIncarnation self;
     private final long quarantineMillis;
     private final List<LearnedTable> tables = new ArrayList<>();
     private final Map<AgentIncarnation, ReceivedHandover> handovers = new HashMap<>();
+    /** Whether every earlier table is known under which a home may still run an operation. */
     private boolean isComplete;
 
-    TableHistory(AgentIncarnation self, long quarantineMillis) {
+    HomeTableHistory(AgentIncarnation self, long quarantineMillis) {
         this.self = self;
         this.quarantineMillis = quarantineMillis;
     }
@@ -43,6 +46,7 @@
         return tables.isEmpty() ? Optional.empty() : Optional.of(last().table());
     }
 
+    /** Adds a table; returns false if it is not newer than the current one. */
     boolean learn(HomeTable table, long nowMillis) {
         if (table.epoch() <= epoch()) {
             return false;
@@ -57,12 +61,13 @@
     }
 
     void receive(Handover handover, long nowMillis) {
-        List<OpenUntil> open = handover.quarantines().stream()
-                .map(quarantine -> new OpenUntil(quarantine, nowMillis + quarantine.remainingMillis()))
+        List<InheritedQuarantine> open = handover.quarantines().stream()
+                .map(quarantine -> new InheritedQuarantine(quarantine, nowMillis + quarantine.remainingMillis()))
                 .toList();
         handovers.put(handover.from(), new ReceivedHandover(handover.sealedEpoch(), open));
     }
 
+    /** Returns whether no previous home can still run the operation {@code id}. */
     boolean isSettled(OperationId id, long nowMillis) {
         for (int i = tables.size() - 2; i >= 0; i--) {
             HomeTable table = tables.get(i).table();
@@ -74,61 +79,63 @@
             if (handover != null) {
                 return handover.open().stream()
                         .noneMatch(open -> open.untilMillis() > nowMillis
-                                && !isAnswered(open)
+                                && !isSuperseded(open)
                                 && open.quarantine().covers(id));
             }
             return remainingMillis(i, nowMillis) <= 0;
         }
-        return isComplete || remainingOfUnknownPast(nowMillis) <= 0;
+        return isComplete || remainingForUnknownTables(nowMillis) <= 0;
     }
 
-    /** Returns the incarnations whose handover would settle keys here. */
+    /** Returns the incarnations from which a handover would end a quarantine. */
     Set<AgentIncarnation> missingHandovers(long nowMillis) {
         Set<AgentIncarnation> missing = new LinkedHashSet<>();
         for (int i = 0; i < tables.size() - 1; i++) {
             if (remainingMillis(i, nowMillis) > 0) {
-                missing.addAll(withoutHandover(tables.get(i).table()));
+                missing.addAll(membersWithoutHandover(tables.get(i).table()));
             }
         }
         return missing;
     }
 
+    /** Returns the quarantines that a handover must pass on to the next home. */
     List<OpenQuarantine> openQuarantines(long nowMillis) {
         List<OpenQuarantine> open = new ArrayList<>();
         for (int i = 0; i < tables.size() - 1; i++) {
             long remainingMillis = remainingMillis(i, nowMillis);
             HomeTable table = tables.get(i).table();
             if (remainingMillis > 0) {
-                withoutHandover(table).forEach(home -> open.add(new OpenQuarantine(table, home, remainingMillis)));
+                membersWithoutHandover(table)
+                        .forEach(home -> open.add(new OpenQuarantine(table, home, remainingMillis)));
             }
         }
         for (ReceivedHandover handover : handovers.values()) {
             handover.open().stream()
-                    .filter(inherited -> inherited.untilMillis() > nowMillis && !isAnswered(inherited))
+                    .filter(inherited -> inherited.untilMillis() > nowMillis && !isSuperseded(inherited))
                     .map(inherited -> new OpenQuarantine(
                             inherited.quarantine().table(),
                             inherited.quarantine().home(),
                             inherited.untilMillis() - nowMillis))
                     .forEach(open::add);
         }
-        if (!isComplete && !tables.isEmpty() && remainingOfUnknownPast(nowMillis) > 0) {
-            open.add(new OpenQuarantine(last().table(), null, remainingOfUnknownPast(nowMillis)));
+        if (!isComplete && !tables.isEmpty() && remainingForUnknownTables(nowMillis) > 0) {
+            open.add(new OpenQuarantine(last().table(), null, remainingForUnknownTables(nowMillis)));
         }
         return open;
     }
 
     /**
-     * Returns whether this agent needs no quarantine of another's telling: it knows what it ran itself, and what a home
-     * ran that has handed over to it since.
+     * Returns whether an inherited quarantine has no effect at this agent, because the quarantined home is this agent
+     * itself or has handed its keys over to this agent since.
      */
-    private boolean isAnswered(OpenUntil open) {
+    private boolean isSuperseded(InheritedQuarantine open) {
         AgentIncarnation home = open.quarantine().home();
         return home != null
                 && (home.equals(self)
                         || handoverCovering(home, open.quarantine().table().epoch()) != null);
     }
 
-    private List<AgentIncarnation> withoutHandover(HomeTable table) {
+    private List<AgentIncarnation> membersWithoutHandover(HomeTable table) {
         return table.members().stream()
                 .filter(member -> !member.equals(self))
                 .filter(member -> handoverCovering(member, table.epoch()) == null)
@@ -144,7 +151,7 @@
         return tables.get(index + 1).learnedMillis() + quarantineMillis - nowMillis;
     }
 
-    private long remainingOfUnknownPast(long nowMillis) {
+    private long remainingForUnknownTables(long nowMillis) {
         return tables.isEmpty() ? quarantineMillis : tables.get(0).learnedMillis() + quarantineMillis - nowMillis;
     }
 
--- a/core/src/main/java/org/jasminehub/core/operation/HomeTableLearned.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HomeTableLearned.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** An agent learnt a new table of homes. */
+/** Emitted when an agent receives a newer home table. */
 public record HomeTableLearned(String service, String agent, long epoch, int memberCount) implements Event {
     @Override
     public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/operation/OpenQuarantine.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OpenQuarantine.java
@@ -3,11 +3,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keys that must be left alone for a while, since an incarnation that may have run them is gone.
+ * A period in which operations of some keys must not be started, because a previous home that did not hand them over
+ * may have run them.
  *
- * @param table the table under which that incarnation was their home
- * @param home that incarnation, or null where the quarantine covers every key
- * @param remainingMillis for how much longer
+ * @param table the table in which the previous home was responsible for the keys
+ * @param home the previous home, or null if the quarantine covers every key
+ * @param remainingMillis the time until the quarantine ends
  */
 public record OpenQuarantine(HomeTable table, @Nullable AgentIncarnation home, long remainingMillis) {
     boolean covers(OperationId id) {
--- a/core/src/main/java/org/jasminehub/core/operation/OperationAnswer.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationAnswer.java
@@ -5,25 +5,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A final answer about an operation.
+ * The final answer to a request for an operation.
  *
- * @param outcome what is known of its effect
- * @param code why there is no result, or null where there is one
- * @param result the service's answer, or null
+ * @param outcome whether the operation ran, as far as that is known
+ * @param code the reason why there is no result, or null if there is one
+ * @param result the response of the service, or null if there is none
  */
 public record OperationAnswer(
         Outcome outcome, @Nullable ErrorCode code, @Nullable OperationResult result) {
-    /** Returns the answer of an operation that ran. */
+    /** Returns the answer for an operation that ran. */
     public static OperationAnswer done(OperationResult result) {
         return new OperationAnswer(Outcome.DONE, null, result);
     }
 
-    /** Returns the answer of an operation that has not run and never will. */
+    /** Returns the answer for an operation that has not run and never will. */
     public static OperationAnswer notRun(ErrorCode code) {
         return new OperationAnswer(Outcome.NOT_RUN, code, null);
     }
 
-    /** Returns the answer where nothing proves whether the operation ran. */
+    /** Returns the answer for an operation of which it is not known whether it ran. */
     public static OperationAnswer unknown(ErrorCode code) {
         return new OperationAnswer(Outcome.UNKNOWN, code, null);
     }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationAnswered.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationAnswered.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.event.EventKind;
 
-/** An agent answered about an operation without running it. */
+/** Emitted when an agent answers a request from its records or refuses it, without running the operation. */
 public record OperationAnswered(String operation, String agent, String outcome, String code) implements Event {
     @Override
     public EventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/operation/OperationCall.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationCall.java
@@ -9,15 +9,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Leads one caller's request for an operation to its final answer, in an entry instance.
+ * The state machine by which an entry instance obtains the final answer to a caller's request for an operation.
  *
- * <p>It asks the key's home and nobody else. It says "not run" only where the home has proved it; where the home cannot
- * be asked, the answer is "unknown" at once. Each method takes one event and returns what to do next; after
- * {@link OperationStep.AnswerCaller} no further event changes anything.
+ * <p>Only the key's home is asked. The answer is "not run" only if the home has confirmed it; if the home cannot be
+ * reached, the answer is "unknown". Each method handles one event and returns the next step; after
+ * {@link OperationStep.AnswerCaller}, further events have no effect.
  *
  * <pre>{@code
  * OperationStep step = call.begin();
- * step = call.takeTicketReply(reply);
+ * step = call.onTicketReply(reply);
  * }</pre>
  *
  * <p>Arguments must not be null. Not safe for use by several threads.
@@ -46,11 +46,11 @@
     private int homesAsked;
 
     /**
-     * Creates the call of a request that has just arrived.
+     * Creates the call for a request that has just arrived.
      *
      * @param id the operation
-     * @param deadlineMillis when its answer is of no use any more, by {@code clock}'s monotonic time
-     * @param tables gives the newest table of homes that this instance knows
+     * @param deadlineMillis the deadline of the request, by the monotonic time of {@code clock}
+     * @param tables supplies the newest home table that this instance knows
      */
     public OperationCall(
             OperationId id, long deadlineMillis, Supplier<Optional<HomeTable>> tables, Clock clock, EventSink events) {
@@ -61,43 +61,49 @@
         this.events = events;
     }
 
-    /** Starts the call. */
+    /** Starts the call by requesting a ticket from the home. */
     public OperationStep begin() {
         phase = Phase.TICKET;
         return askNextHome();
     }
 
-    /** Starts a call that this instance refuses for {@code code}: the home must prove that it has not run. */
+    /**
+     * Starts the call of a request that this instance refuses with {@code code}. The home must revoke the operation
+     * before the caller may be told that it has not run.
+     */
     public OperationStep beginRefused(ErrorCode code) {
         phase = Phase.REVOCATION;
         refusal = code;
         return askNextHome();
     }
 
-    /** Takes the home's decision about a ticket. */
-    public OperationStep takeTicketReply(GuardDecision reply) {
+    /** Handles the home's reply to the ticket request. */
+    public OperationStep onTicketReply(GuardDecision reply) {
         if (phase != Phase.TICKET) {
-            return current();
+            return currentStep();
         }
         if (reply instanceof GuardDecision.TicketGranted granted) {
-            return isLate() ? answerUnknown(ErrorCode.DEADLINE_EXCEEDED) : send(granted.ticket());
+            return isPastDeadline() ? answerUnknown(ErrorCode.DEADLINE_EXCEEDED) : send(granted.ticket());
         }
-        return takeFinal(reply);
+        return onFinalReply(reply);
     }
 
-    /** Takes the home's answer to the request itself. */
-    public OperationStep takeAnswer(GuardDecision reply) {
-        return phase == Phase.SENT ? takeFinal(reply) : current();
+    /** Handles the home's answer to the request. */
+    public OperationStep onAnswer(GuardDecision reply) {
+        return phase == Phase.SENT ? onFinalReply(reply) : currentStep();
     }
 
-    /** Takes the home's answer to a revocation. */
-    public OperationStep takeRevocationReply(GuardDecision reply) {
-        return phase == Phase.REVOCATION ? takeFinal(reply) : current();
+    /** Handles the home's reply to the revocation request. */
+    public OperationStep onRevocationReply(GuardDecision reply) {
+        return phase == Phase.REVOCATION ? onFinalReply(reply) : currentStep();
     }
 
-    /** Takes the news that the home cannot be reached, or that the connection to it was lost. */
-    public OperationStep takeLoss() {
-        if (phase == Phase.SENT && home != null && !isLate()) {
+    /**
+     * Handles the failure to reach the home, or the loss of the connection to it. If the request has been sent and the
+     * deadline has not passed, asks the home to revoke the operation; otherwise the answer is "unknown".
+     */
+    public OperationStep onHomeLost() {
+        if (phase == Phase.SENT && home != null && !isPastDeadline()) {
             phase = Phase.REVOCATION;
             refusal = ErrorCode.ENDPOINT_FAILED;
             return new OperationStep.RequestRevocation(home);
@@ -105,17 +111,20 @@
         return answerUnknown(ErrorCode.OUTCOME_UNKNOWN);
     }
 
-    /** Takes a refusal of the request by another step at the home, which proves nothing of earlier attempts. */
-    public OperationStep takeRefusal(ErrorCode code) {
-        OperationStep step = takeLoss();
+    /**
+     * Handles a refusal of the request by another filter of the home. The refusal concerns only this attempt: an
+     * earlier attempt may have run, so the home is asked to revoke the operation.
+     */
+    public OperationStep onRequestRefused(ErrorCode code) {
+        OperationStep step = onHomeLost();
         if (step instanceof OperationStep.RequestRevocation) {
             refusal = code;
         }
         return step;
     }
 
-    /** Takes the passing of the deadline. */
-    public OperationStep takeDeadline() {
+    /** Handles the expiry of the deadline. */
+    public OperationStep onDeadlineExceeded() {
         return answerUnknown(ErrorCode.DEADLINE_EXCEEDED);
     }
 
@@ -124,9 +133,9 @@
         return new OperationStep.SendRequest(ticket);
     }
 
-    private OperationStep takeFinal(GuardDecision reply) {
+    private OperationStep onFinalReply(GuardDecision reply) {
         if (reply instanceof GuardDecision.Answered answered) {
-            return takeProof(answered.answer());
+            return concludeWith(answered.answer());
         }
         if (reply instanceof GuardDecision.WrongHome) {
             phase = phase == Phase.SENT ? Phase.TICKET : phase;
@@ -142,7 +151,7 @@
             askedEpoch = table.map(HomeTable::epoch).orElse(askedEpoch);
             next = table.flatMap(newest -> newest.home(id));
         }
-        if (next.isEmpty() || homesAsked == MAX_HOMES_ASKED || isLate()) {
+        if (next.isEmpty() || homesAsked == MAX_HOMES_ASKED || isPastDeadline()) {
             return answerUnknown(ErrorCode.NOT_READY);
         }
         home = next.get();
@@ -152,12 +161,14 @@
                 : new OperationStep.RequestTicket(home);
     }
 
-    /** After the deadline "not run" proves nothing: the home may have run the operation and forgotten it since. */
-    private OperationStep takeProof(OperationAnswer answer) {
+    /**
+     * After the deadline "not run" is not reliable: the home may have run the operation and expired its record since.
+     */
+    private OperationStep concludeWith(OperationAnswer answer) {
         if (answer.outcome() != Outcome.NOT_RUN) {
             return answer(answer);
         }
-        if (isLate()) {
+        if (isPastDeadline()) {
             return answerUnknown(ErrorCode.DEADLINE_EXCEEDED);
         }
         return answer(refusal == null ? answer : OperationAnswer.notRun(refusal));
@@ -177,11 +188,11 @@
         return finalStep;
     }
 
-    private OperationStep current() {
+    private OperationStep currentStep() {
         return finalStep == null ? new OperationStep.Wait() : finalStep;
     }
 
-    private boolean isLate() {
+    private boolean isPastDeadline() {
         return clock.monotonicMillis() >= deadlineMillis;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationId.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationId.java
@@ -4,17 +4,17 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The name of one operation: a caller's key, distinct per workspace and service.
+ * Identifies an operation by the caller's key, which is unique per workspace and service.
  *
- * @param workspace on whose behalf it runs
- * @param service the plain service that runs it
- * @param key the caller's Idempotency-Key
+ * @param workspace the workspace on whose behalf the operation runs
+ * @param service the plain service that runs the operation
+ * @param key the Idempotency-Key of the request
  */
 public record OperationId(WorkspaceId workspace, String service, String key) {
-    /** Longest key taken, in characters. */
+    /** The maximum length of a key, in characters. */
     public static final int MAX_KEY_LENGTH = 255;
 
-    /** Creates a checked name. */
+    /** Creates an id; throws if the service or key is blank, or the key is too long. */
     public OperationId {
         Checks.notBlank("service", service);
         Checks.notBlank("key", key);
--- a/core/src/main/java/org/jasminehub/core/operation/OperationLedger.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationLedger.java
@@ -11,10 +11,10 @@
 import java.util.function.Predicate;
 
 /**
- * An agent's bounded memory of operations, oldest first.
+ * The operation records of an agent, oldest first and limited in number and size.
  *
- * <p>A record is kept in full for the retention time and by name for as long as there is room. Not safe for use by
- * several threads.
+ * <p>A complete record is kept for the retention time; after that only the operation's id is kept, until {@link
+ * LedgerLimits#maxExpired()} newer ids have expired. Not safe for use by several threads.
  */
 final class OperationLedger {
     private final LedgerLimits limits;
@@ -50,10 +50,12 @@
         records.put(operation.id(), operation);
     }
 
-    /** Adds a record of another agent; the answer of a service goes before a doubt. */
+    /** Adds a record received from another agent. It replaces an existing record only if its state is {@code DONE}. */
     void merge(OperationRecord operation) {
         records.merge(
-                operation.id(), operation, (mine, theirs) -> theirs.state() == OperationState.DONE ? theirs : mine);
+                operation.id(),
+                operation,
+                (existing, received) -> received.state() == OperationState.DONE ? received : existing);
     }
 
     void finish(OperationId id, OperationResult result) {
@@ -66,23 +68,23 @@
         }
     }
 
-    void doubt(OperationId id) {
-        records.computeIfPresent(id, (same, operation) -> operation.with(OperationState.IN_DOUBT, null));
+    void markInDoubt(OperationId id) {
+        records.computeIfPresent(id, (key, operation) -> operation.with(OperationState.IN_DOUBT, null));
     }
 
-    void revokeUnsent(OperationId id) {
-        records.computeIfPresent(id, (same, operation) -> operation.with(OperationState.REVOKED, null));
+    void markRevoked(OperationId id) {
+        records.computeIfPresent(id, (key, operation) -> operation.with(OperationState.REVOKED, null));
     }
 
-    List<OperationRecord> matching(Predicate<OperationId> wanted, long nowMillis) {
+    List<OperationRecord> matching(Predicate<OperationId> filter, long nowMillis) {
         expire(nowMillis);
-        List<OperationRecord> found = new ArrayList<>();
+        List<OperationRecord> matches = new ArrayList<>();
         for (OperationRecord operation : records.values()) {
-            if (wanted.test(operation.id())) {
-                found.add(operation);
+            if (filter.test(operation.id())) {
+                matches.add(operation);
             }
         }
-        return found;
+        return matches;
     }
 
     int size() {
@@ -98,7 +100,7 @@
             }
             oldestFirst.remove();
             keptBytes -= sizeBytes(oldest);
-            rememberName(oldest.id());
+            addExpired(oldest.id());
         }
     }
 
@@ -106,7 +108,7 @@
         return operation.result() == null ? 0 : operation.result().body().length;
     }
 
-    private void rememberName(OperationId id) {
+    private void addExpired(OperationId id) {
         expired.add(id);
         if (expired.size() > limits.maxExpired()) {
             Iterator<OperationId> oldest = expired.iterator();
--- a/core/src/main/java/org/jasminehub/core/operation/OperationMessage.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationMessage.java
@@ -4,47 +4,48 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** What entry instances and agents say to each other about operations. */
+/** A message between entry instances and agents that concerns operations. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.MINIMAL_CLASS)
 public sealed interface OperationMessage {
-    /** Asks an agent for a ticket; answered by {@link Decided}. */
+    /** Requests a ticket from an agent; the reply is {@link Decided}. */
     record AskTicket(OperationId id, String bodyDigest) implements OperationMessage {}
 
-    /** Asks an agent to revoke an operation; answered by {@link Decided}. */
+    /** Requests that an agent revoke an operation; the reply is {@link Decided}. */
     record AskRevocation(OperationId id, String bodyDigest) implements OperationMessage {}
 
-    /** Asks an agent for a key of its own; answered by {@link KeyIssued}. */
+    /** Requests a {@link BoundKey} from an agent; the reply is {@link KeyIssued}. */
     record AskKey() implements OperationMessage {}
 
-    /** Asks an old home for the keys that {@code table} moves to {@code to}; answered by {@link HandoverGivenUp}. */
+    /** Requests a handover of the keys that {@code table} moves to {@code to}; the reply is {@link HandoverGivenUp}. */
     record AskHandover(HomeTable table, AgentIncarnation to) implements OperationMessage {}
 
-    /** Gives a new home what its old home handed over; answered by {@link Noted}. */
+    /** Delivers a handover to the new home; the reply is {@link Noted}. */
     record GiveHandover(Handover handover) implements OperationMessage {}
 
     /**
-     * Shows an agent the tables of its service; answered by {@link Noted}.
+     * Sends an agent the home tables of its service; the reply is {@link Noted}.
      *
      * @param tables the tables that the sender knows, oldest first
-     * @param confirmedEpoch the table in force at a point of the log written after {@code confirmedMillis}, or 0
-     * @param confirmedMillis a time that the agent gave in an earlier {@link Noted}
+     * @param confirmedEpoch the epoch of the table in force at a log position that was written after {@code
+     *     confirmedMillis}, or 0 if the message confirms no table
+     * @param confirmedMillis the time that the agent reported in an earlier {@link Noted}
      */
     record ShowTables(List<HomeTable> tables, long confirmedEpoch, long confirmedMillis) implements OperationMessage {}
 
-    /** An agent's decision. */
+    /** Contains an agent's decision. */
     record Decided(GuardDecision decision) implements OperationMessage {}
 
-    /** A key that an agent issued. */
+    /** Contains a key that an agent issued. */
     record KeyIssued(String key) implements OperationMessage {}
 
-    /** What an old home gave up; null where it knows a newer table. */
+    /** Contains the previous home's handover, or null if the previous home knows a newer table. */
     record HandoverGivenUp(@Nullable Handover handover) implements OperationMessage {}
 
     /**
-     * An agent took note.
+     * Acknowledges a message.
      *
-     * @param nowMillis the agent's monotonic time
-     * @param missingHandovers the old homes that it still needs a handover from
+     * @param nowMillis the monotonic time of the agent
+     * @param missingHandovers the previous homes from which the agent still needs a handover
      */
     record Noted(long nowMillis, List<AgentIncarnation> missingHandovers) implements OperationMessage {}
 }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
@@ -6,38 +6,38 @@
 import java.util.Optional;
 import org.jasminehub.core.error.InvalidArgumentException;
 
-/** Writes and reads operation messages and tickets as JSON text. Safe for use by several threads. */
+/** Converts operation messages, tickets and log records to and from JSON. Safe for use by several threads. */
 public final class OperationMessageCodec {
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
     private OperationMessageCodec() {}
 
-    /** Returns {@code message} as text. */
+    /** Returns {@code message} as JSON. */
     public static String write(OperationMessage message) {
         return writeValue(message);
     }
 
-    /** Returns the message that {@code text} holds, or nothing where it holds none. */
+    /** Parses a message; returns empty if {@code text} is not a valid message. */
     public static Optional<OperationMessage> read(String text) {
         return readValue(text, OperationMessage.class);
     }
 
-    /** Returns {@code ticket} as text. */
+    /** Returns {@code ticket} as JSON. */
     public static String writeTicket(OperationTicket ticket) {
         return writeValue(ticket);
     }
 
-    /** Returns the ticket that {@code text} holds, or nothing where it holds none. */
+    /** Parses a ticket; returns empty if {@code text} is not a valid ticket. */
     public static Optional<OperationTicket> readTicket(String text) {
         return readValue(text, OperationTicket.class);
     }
 
-    /** Returns {@code logRecord} as text. */
+    /** Returns {@code logRecord} as JSON. */
     public static String writeRecord(HomeLogRecord logRecord) {
         return writeValue(logRecord);
     }
 
-    /** Returns the record that {@code text} holds, or nothing where the log's record is another part's. */
+    /** Parses a log record; returns empty if it does not concern home tables. */
     public static Optional<HomeLogRecord> readRecord(String text) {
         return readValue(text, HomeLogRecord.class).filter(HomeLogRecord::isValid);
     }
@@ -46,7 +46,7 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new InvalidArgumentException("message", value, "a value that JSON can hold");
+            throw new InvalidArgumentException("message", value, "a value that can be written as JSON");
         }
     }
 
--- a/core/src/main/java/org/jasminehub/core/operation/OperationRecord.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationRecord.java
@@ -4,13 +4,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an agent remembers of one operation.
+ * An agent's record of one operation.
  *
  * @param id the operation
- * @param bodyDigest the digest of the request it came with; empty where it was revoked before a request came
- * @param state how far it got
- * @param result the service's answer, or null where there is none or it was too large to keep
- * @param sinceMillis when it entered the ledger, by the agent's monotonic clock
+ * @param bodyDigest the digest of the request, or empty if the operation was revoked before it was started
+ * @param state the state of the operation
+ * @param result the response of the service, or null if there is none or it was not kept
+ * @param sinceMillis when the record was created, by the agent's monotonic clock; in a {@link Handover}, its age
  */
 public record OperationRecord(
         OperationId id,
@@ -22,15 +22,18 @@
         return new OperationRecord(id, bodyDigest, newState, newResult, sinceMillis);
     }
 
-    /** Returns the record with its age in place of its time, for another agent. */
-    OperationRecord movedBy(long nowMillis) {
+    /** Returns a copy for another agent, with the age of the record in place of its time of creation. */
+    OperationRecord sentAt(long nowMillis) {
         return new OperationRecord(id, bodyDigest, state, result, nowMillis - sinceMillis);
     }
 
-    /** Returns a record that came with its age; what still ran elsewhere is in doubt here. */
+    /**
+     * Converts a record received from another agent to this agent's clock. An operation that was still running there is
+     * in doubt here.
+     */
     OperationRecord receivedAt(long nowMillis) {
-        OperationState kept = state == OperationState.RUNNING ? OperationState.IN_DOUBT : state;
-        return new OperationRecord(id, bodyDigest, kept, result, nowMillis - sinceMillis);
+        OperationState localState = state == OperationState.RUNNING ? OperationState.IN_DOUBT : state;
+        return new OperationRecord(id, bodyDigest, localState, result, nowMillis - sinceMillis);
     }
 
     boolean matchesBody(String digest) {
--- a/core/src/main/java/org/jasminehub/core/operation/OperationState.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationState.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.operation;
 
-/** What an agent remembers of an operation. */
+/** The state of an operation in an agent's ledger. */
 public enum OperationState {
-    /** It was given to the service, which has not answered. */
+    /** The operation was started, and the service has not responded. */
     RUNNING,
-    /** The service answered. */
+    /** The service responded. */
     DONE,
-    /** It never ran and never will. */
+    /** The operation has not run and never will. */
     REVOKED,
-    /** It was given to a service, and the answer was lost. */
+    /** The request may have reached the service, and the response was lost. */
     IN_DOUBT
 }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationStep.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationStep.java
@@ -1,19 +1,19 @@
 package org.jasminehub.core.operation;
 
-/** What an entry instance does next for an operation. */
+/** The next action of an entry instance for an operation. */
 public sealed interface OperationStep {
-    /** Ask {@code home} for a ticket. */
+    /** Request a ticket from {@code home}. */
     record RequestTicket(AgentIncarnation home) implements OperationStep {}
 
-    /** Send the request with its ticket. */
+    /** Send the request with its ticket to the ticket's issuer. */
     record SendRequest(OperationTicket ticket) implements OperationStep {}
 
-    /** Ask {@code home} to revoke the operation, on a new connection where the old one is lost. */
+    /** Request a revocation from {@code home}, on a new connection if the previous one was lost. */
     record RequestRevocation(AgentIncarnation home) implements OperationStep {}
 
-    /** Nothing; an event came that the call no longer waits for. */
+    /** Do nothing; the event was not the one that the call is waiting for. */
     record Wait() implements OperationStep {}
 
-    /** Give the caller its final answer. */
+    /** Send the final answer to the caller. */
     record AnswerCaller(OperationAnswer answer) implements OperationStep {}
 }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationTimes.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationTimes.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The times on which running at most once rests.
+ * The durations on which the at-most-once guarantee depends.
  *
  * <pre>{@code
  * OperationTimes times = OperationTimes.of(600_000, 300_000, 60_000, 5_000);
@@ -12,10 +12,10 @@
  * <p>Immutable.
  */
 public final class OperationTimes {
-    /** A window of ten minutes, a lease of five, deadlines of up to a minute and tickets of five seconds. */
+    /** The defaults: a window of 10 min, a lease of 5 min, deadlines of up to 1 min and tickets valid for 5 s. */
     public static final OperationTimes DEFAULT = of(600_000, 300_000, 60_000, 5_000);
 
-    /** Clocks of two instances may differ in speed by one part in this many. */
+    /** The clocks of two instances may differ in rate by at most one part in this number, that is by 1 %. */
     private static final long CLOCK_DRIFT_DIVISOR = 100;
 
     private final long windowMillis;
@@ -41,58 +41,64 @@
     }
 
     /**
-     * Returns checked times.
+     * Creates durations and derives the retention and quarantine times; throws if a duration is not positive.
      *
-     * @param windowMillis for how long after its first use a caller may repeat a key
-     * @param leaseMillis for how long an agent runs operations after it last confirmed the table of homes
-     * @param maxDeadlineMillis the longest deadline of a request that carries a key
-     * @param ticketMillis for how long a ticket may be used
+     * @param windowMillis how long after the first use of a key a caller may retry with it
+     * @param leaseMillis how long an agent may start operations after it last confirmed the home table
+     * @param maxDeadlineMillis the maximum deadline of a request that carries a key
+     * @param ticketMillis how long a ticket is valid
      */
     public static OperationTimes of(long windowMillis, long leaseMillis, long maxDeadlineMillis, long ticketMillis) {
         Checks.positive("windowMillis", windowMillis);
         Checks.positive("leaseMillis", leaseMillis);
         Checks.positive("maxDeadlineMillis", maxDeadlineMillis);
         Checks.positive("ticketMillis", ticketMillis);
-        long repeatMillis = windowMillis + maxDeadlineMillis + ticketMillis;
+        long retryMillis = windowMillis + maxDeadlineMillis + ticketMillis;
         return new OperationTimes(
                 windowMillis,
                 leaseMillis,
                 maxDeadlineMillis,
                 ticketMillis,
-                withDrift(repeatMillis),
-                withDrift(leaseMillis + repeatMillis));
+                withDrift(retryMillis),
+                withDrift(leaseMillis + retryMillis));
     }
 
     private static long withDrift(long millis) {
         return millis + millis / CLOCK_DRIFT_DIVISOR + 1;
     }
 
-    /** Returns for how long after its first use a caller may repeat a key. */
+    /** Returns how long after the first use of a key a caller may retry with it. */
     public long windowMillis() {
         return windowMillis;
     }
 
-    /** Returns for how long an agent runs operations after it last confirmed the table of homes. */
+    /** Returns how long an agent may start operations after it last confirmed the home table. */
     public long leaseMillis() {
         return leaseMillis;
     }
 
-    /** Returns the longest deadline of a request that carries a key. */
+    /** Returns the maximum deadline of a request that carries a key. */
     public long maxDeadlineMillis() {
         return maxDeadlineMillis;
     }
 
-    /** Returns for how long a ticket may be used. */
+    /** Returns how long a ticket is valid. */
     public long ticketMillis() {
         return ticketMillis;
     }
 
-    /** Returns for how long an agent remembers an operation: until its last repeat can have arrived. */
+    /**
+     * Returns how long an agent keeps the record of an operation. It is the latest time at which a retry can arrive:
+     * the sum of window, maximum deadline and ticket validity, plus clock drift.
+     */
     public long retentionMillis() {
         return retentionMillis;
     }
 
-    /** Returns for how long a new home leaves keys alone whose old home is gone without a handover. */
+    /**
+     * Returns how long a new home must not start operations of keys whose previous home has not handed them over. It is
+     * the sum of lease, window, maximum deadline and ticket validity, plus clock drift.
+     */
     public long quarantineMillis() {
         return quarantineMillis;
     }
--- a/core/src/test/java/org/jasminehub/core/CorePurityTest.java
+++ b/core/src/test/java/org/jasminehub/core/CorePurityTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void testNoClassReadsAClockOfTheMachine() {
+    void testNoClassReadsSystemClock() {
         ArchRuleDefinition.noClasses()
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
--- a/core/src/test/java/org/jasminehub/core/operation/HomeGuardTest.java
+++ b/core/src/test/java/org/jasminehub/core/operation/AtMostOnceGuardTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-final class HomeGuardTest {
+final class AtMostOnceGuardTest {
     private static final long LEASE_MILLIS = 300;
     private static final OperationTimes TIMES = OperationTimes.of(1000, LEASE_MILLIS, 100, 50);
     private static final OperationResult BOOKED = new OperationResult(201, "text/plain", new byte[] {'1'});
@@ -24,11 +24,11 @@
     private final AgentIncarnation newId = new AgentIncarnation(new InstanceId("new"), 1);
     private final HomeTable onlyOld = new HomeTable("bookings", 1, List.of(oldId));
     private final HomeTable onlyNew = new HomeTable("bookings", 2, List.of(newId));
-    private final HomeGuard oldHome = guard(oldId, LedgerLimits.DEFAULT);
-    private final HomeGuard newHome = guard(newId, LedgerLimits.DEFAULT);
+    private final AtMostOnceGuard oldHome = guard(oldId, LedgerLimits.DEFAULT);
+    private final AtMostOnceGuard newHome = guard(newId, LedgerLimits.DEFAULT);
 
-    private HomeGuard guard(AgentIncarnation id, LedgerLimits limits) {
-        return new HomeGuard(id, "bookings", TIMES, limits, clock, event -> {});
+    private AtMostOnceGuard guard(AgentIncarnation id, LedgerLimits limits) {
+        return new AtMostOnceGuard(id, "bookings", TIMES, limits, clock, event -> {});
     }
 
     private static OperationId key(String key) {
@@ -46,7 +46,7 @@
         newHome.confirm(2, clock.monotonicMillis());
     }
 
-    private static GuardDecision send(HomeGuard home, OperationId id, String body) {
+    private static GuardDecision send(AtMostOnceGuard home, OperationId id, String body) {
         GuardDecision decision = home.requestTicket(id, body);
         return decision instanceof GuardDecision.TicketGranted granted ? home.start(granted.ticket(), body) : decision;
     }
@@ -56,9 +56,9 @@
     }
 
     @Nested
-    final class Repeats {
+    final class Retries {
         @Test
-        void testRepeatGetsTheFirstRunsResult() {
+        void testRetryReceivesResultOfFirstRun() {
             confirmOldHome();
             assertInstanceOf(GuardDecision.RunNow.class, send(oldHome, key("k"), "body"));
             assertInstanceOf(GuardDecision.AwaitRun.class, send(oldHome, key("k"), "body"));
@@ -67,7 +67,7 @@
         }
 
         @Test
-        void testSameKeyWithAnotherBodyIsRefused() {
+        void testSameKeyWithDifferentBodyIsRefused() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
             assertEquals(
@@ -76,7 +76,7 @@
         }
 
         @Test
-        void testRepeatAfterTheWindowIsRefusedAndNotGuessed() {
+        void testRetryAfterRetentionIsRefusedAsUnknown() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
             oldHome.finish(key("k"), BOOKED);
@@ -87,8 +87,8 @@
         }
 
         @Test
-        void testFullMemoryRefusesNewKeysAndForgetsNone() {
-            HomeGuard small = guard(oldId, new LedgerLimits(1, 1, 100, 100, 1));
+        void testFullLedgerRefusesNewKeysAndKeepsRecords() {
+            AtMostOnceGuard small = guard(oldId, new LedgerLimits(1, 1, 100, 100, 1));
             small.learn(onlyOld);
             small.confirm(1, 0);
             send(small, key("first"), "body");
@@ -101,7 +101,7 @@
     @Nested
     final class Revocation {
         @Test
-        void testRevokedKeyNeverStartsEvenWithATicketInHand() {
+        void testRevokedOperationDoesNotStartWithValidTicket() {
             confirmOldHome();
             var granted = assertInstanceOf(GuardDecision.TicketGranted.class, oldHome.requestTicket(key("k"), "body"));
             assertEquals(
@@ -112,7 +112,7 @@
         }
 
         @Test
-        void testRevocationOfARunningOperationIsUnknown() {
+        void testRevocationOfRunningOperationAnswersUnknown() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
             assertEquals(
@@ -120,7 +120,7 @@
         }
 
         @Test
-        void testRevocationOfAnotherBodyTellsNothingOfTheFirst() {
+        void testRevocationWithDifferentBodyDoesNotRevealFirstResult() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
             oldHome.finish(key("k"), BOOKED);
@@ -130,19 +130,19 @@
         }
 
         @Test
-        void testRequestThatNeverLeftTheAgentIsNotRun() {
+        void testUnsentRequestAnswersNotRun() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
-            oldHome.failUnsent(key("k"));
+            oldHome.finishUnsent(key("k"));
             assertEquals(
                     Outcome.NOT_RUN, answer(send(oldHome, key("k"), "body")).outcome());
         }
     }
 
     @Nested
-    final class ChangeOfHome {
+    final class HomeChange {
         @Test
-        void testNewHomeLeavesAGoneHomesKeysAloneForTheQuarantine() {
+        void testNewHomeStartsKeysWithoutHandoverOnlyAfterQuarantine() {
             confirmOldHome();
             send(oldHome, key("k"), "body");
             confirmNewHome();
@@ -155,7 +155,7 @@
         }
 
         @Test
-        void testThawedHomeStartsNothingAfterItsLease() {
+        void testHomeResumingAfterLeaseExpiryStartsNothing() {
             confirmOldHome();
             var granted = assertInstanceOf(GuardDecision.TicketGranted.class, oldHome.requestTicket(key("k"), "body"));
             clock.advanceMillis(LEASE_MILLIS);
@@ -167,7 +167,7 @@
         }
 
         @Test
-        void testHandoverSettlesKeysAtOnceAndSealsTheOldHome() {
+        void testHandoverSettlesKeysAndStopsPreviousHome() {
             confirmOldHome();
             send(oldHome, key("done"), "body");
             oldHome.finish(key("done"), BOOKED);
@@ -182,9 +182,12 @@
             assertInstanceOf(GuardDecision.WrongHome.class, send(oldHome, key("fresh"), "body"));
         }
 
-        /** Each of two homes asks the other for a handover; the second one given must not undo the first. */
+        /**
+         * Two homes request handovers from each other; the second handover must not quarantine keys that the first
+         * settled.
+         */
         @Test
-        void testHandoversInBothDirectionsLeaveNoQuarantineOnTheOldHomesKeys() {
+        void testHandoversInBothDirectionsLeaveNoQuarantine() {
             HomeTable both = new HomeTable("bookings", 1, List.of(newId, oldId));
             oldHome.learn(both);
             newHome.learn(both);
@@ -202,7 +205,7 @@
         }
 
         @Test
-        void testHandoverForAnOlderTableIsNotGiven() {
+        void testNoHandoverForOlderTable() {
             oldHome.learn(onlyOld);
             oldHome.learn(onlyNew);
             assertNull(oldHome.handOver(onlyOld, newId));
@@ -212,20 +215,20 @@
     @Nested
     final class BoundKeys {
         @Test
-        void testBoundKeyRunsWithoutTableOrLease() {
+        void testBoundKeyRunsWithoutHomeTableOrLease() {
             OperationId id = key(oldHome.issueKey().text());
             assertInstanceOf(GuardDecision.RunNow.class, send(oldHome, id, "body"));
         }
 
         @Test
-        void testBoundKeyNeverRunsAtAnotherIncarnation() {
+        void testBoundKeyDoesNotRunAtAnotherIncarnation() {
             OperationId id = key(oldHome.issueKey().text());
-            HomeGuard restarted = guard(new AgentIncarnation(new InstanceId("old"), 2), LedgerLimits.DEFAULT);
+            AtMostOnceGuard restarted = guard(new AgentIncarnation(new InstanceId("old"), 2), LedgerLimits.DEFAULT);
             assertEquals(Outcome.UNKNOWN, answer(send(restarted, id, "body")).outcome());
         }
 
         @Test
-        void testOldBoundKeyIsRefused() {
+        void testBoundKeyIsRefusedAfterWindow() {
             OperationId id = key(oldHome.issueKey().text());
             clock.advanceMillis(TIMES.windowMillis() + 1);
             assertEquals(OperationAnswer.notRun(ErrorCode.IDEMPOTENCY_KEY_EXPIRED), answer(send(oldHome, id, "body")));
--- a/core/src/test/java/org/jasminehub/core/operation/OperationCallTest.java
+++ b/core/src/test/java/org/jasminehub/core/operation/OperationCallTest.java
@@ -30,50 +30,50 @@
     }
 
     @Test
-    void testLossBeforeTheTicketIsUnknownAtOnce() {
+    void testConnectionLossBeforeTicketAnswersUnknown() {
         call.begin();
-        assertEquals(Outcome.UNKNOWN, answer(call.takeLoss()).outcome());
+        assertEquals(Outcome.UNKNOWN, answer(call.onHomeLost()).outcome());
     }
 
     @Test
-    void testLossAfterTheSendAsksTheHomeToRevoke() {
+    void testConnectionLossAfterSendRequestsRevocation() {
         call.begin();
-        call.takeTicketReply(new GuardDecision.TicketGranted(ticket));
-        assertEquals(new OperationStep.RequestRevocation(home), call.takeLoss());
-        assertEquals(OperationAnswer.notRun(ErrorCode.ENDPOINT_FAILED), answer(call.takeRevocationReply(NOT_RUN)));
+        call.onTicketReply(new GuardDecision.TicketGranted(ticket));
+        assertEquals(new OperationStep.RequestRevocation(home), call.onHomeLost());
+        assertEquals(OperationAnswer.notRun(ErrorCode.ENDPOINT_FAILED), answer(call.onRevocationReply(NOT_RUN)));
     }
 
     @Test
-    void testTicketThatCameAfterTheDeadlineIsNotUsed() {
+    void testTicketReceivedAfterDeadlineIsNotUsed() {
         call.begin();
         clock.advanceMillis(DEADLINE_MILLIS);
         assertEquals(
                 Outcome.UNKNOWN,
-                answer(call.takeTicketReply(new GuardDecision.TicketGranted(ticket)))
+                answer(call.onTicketReply(new GuardDecision.TicketGranted(ticket)))
                         .outcome());
     }
 
     @Test
-    void testNotRunAfterTheDeadlineIsNoProof() {
+    void testNotRunReceivedAfterDeadlineAnswersUnknown() {
         call.beginRefused(ErrorCode.LIMIT_EXCEEDED);
         clock.advanceMillis(DEADLINE_MILLIS);
-        assertEquals(Outcome.UNKNOWN, answer(call.takeRevocationReply(NOT_RUN)).outcome());
+        assertEquals(Outcome.UNKNOWN, answer(call.onRevocationReply(NOT_RUN)).outcome());
     }
 
     @Test
-    void testRefusalHereIsNotRunOnlyWithTheHomesProof() {
+    void testRefusedRequestAnswersNotRunOnlyAfterRevocation() {
         assertEquals(new OperationStep.RequestRevocation(home), call.beginRefused(ErrorCode.LIMIT_EXCEEDED));
-        assertEquals(OperationAnswer.notRun(ErrorCode.LIMIT_EXCEEDED), answer(call.takeRevocationReply(NOT_RUN)));
+        assertEquals(OperationAnswer.notRun(ErrorCode.LIMIT_EXCEEDED), answer(call.onRevocationReply(NOT_RUN)));
     }
 
     @Test
-    void testWrongHomeIsFollowedOnlyUnderANewerTable() {
+    void testWrongHomeIsRetriedOnlyWithNewerTable() {
         call.begin();
         AgentIncarnation next = new AgentIncarnation(new InstanceId("next"), 1);
         table = new HomeTable("bookings", 2, List.of(next));
-        assertEquals(new OperationStep.RequestTicket(next), call.takeTicketReply(new GuardDecision.WrongHome(2)));
+        assertEquals(new OperationStep.RequestTicket(next), call.onTicketReply(new GuardDecision.WrongHome(2)));
         assertEquals(
                 ErrorCode.NOT_READY,
-                answer(call.takeTicketReply(new GuardDecision.WrongHome(3))).code());
+                answer(call.onTicketReply(new GuardDecision.WrongHome(3))).code());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/operation/OperationFlaw.java
+++ b/core/src/test/java/org/jasminehub/core/operation/OperationDefect.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.operation;
 
-/** A mechanism left out on purpose, to show that a check notices. */
-enum OperationFlaw {
+/** A defect that is built into the simulation on purpose, to verify that the simulation's checks detect it. */
+enum OperationDefect {
     NONE,
     NO_QUARANTINE,
     NO_LEASE,
     NO_TICKET_EXPIRY,
     NO_ENTRY_DEADLINE,
-    NO_MEMORY,
+    NO_RETENTION,
     NOT_RUN_WITHOUT_PROOF,
     HANDOVER_WITHOUT_SEAL;
 
@@ -18,13 +18,13 @@
     private static final int TICKET_MILLIS = 50;
 
     OperationTimes times() {
-        OperationTimes sound = OperationTimes.of(WINDOW_MILLIS, LEASE_MILLIS, DEADLINE_MILLIS, TICKET_MILLIS);
+        OperationTimes correct = OperationTimes.of(WINDOW_MILLIS, LEASE_MILLIS, DEADLINE_MILLIS, TICKET_MILLIS);
         return new OperationTimes(
                 WINDOW_MILLIS,
                 this == NO_LEASE ? NEVER_MILLIS : LEASE_MILLIS,
                 DEADLINE_MILLIS,
                 this == NO_TICKET_EXPIRY ? NEVER_MILLIS : TICKET_MILLIS,
-                this == NO_MEMORY ? 0 : sound.retentionMillis(),
-                this == NO_QUARANTINE ? 0 : sound.quarantineMillis());
+                this == NO_RETENTION ? 0 : correct.retentionMillis(),
+                this == NO_QUARANTINE ? 0 : correct.quarantineMillis());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/operation/OperationWorld.java
+++ b/core/src/test/java/org/jasminehub/core/operation/OperationSimulation.java
@@ -14,29 +14,32 @@
 import org.jasminehub.core.identity.WorkspaceId;
 import org.jasminehub.core.time.ManualClock;
 
-/** Agents, entry instances, callers, a log and a network that loses, repeats, delays and reorders, under one seed. */
-final class OperationWorld {
+/**
+ * Simulates agents, entry instances, callers, a log and a network that loses, duplicates, delays and reorders messages.
+ * All random decisions come from one seed, so that a schedule that violates an invariant can be run again.
+ */
+final class OperationSimulation {
     private static final int STEPS = 1200;
     private static final LedgerLimits LIMITS = new LedgerLimits(1000, 100, 100, 10_000, 0);
     private static final int MAX_AGENTS = 5;
-    private static final int KEYS_IN_USE = 4;
+    private static final int MAX_KEYS_IN_USE = 4;
     private static final String BODY = "digest";
 
     private static final class Entry {
         private final List<Call> calls = new ArrayList<>();
         private long knownEpoch;
-        private boolean isFrozen;
+        private boolean isPaused;
     }
 
     private static final class Call {
         private final OperationId id;
-        private final OperationCall call;
+        private final OperationCall operation;
         private final long deadlineMillis;
         private OperationAnswer answer;
 
-        private Call(OperationId id, OperationCall call, long deadlineMillis) {
+        private Call(OperationId id, OperationCall operation, long deadlineMillis) {
             this.id = id;
-            this.call = call;
+            this.operation = operation;
             this.deadlineMillis = deadlineMillis;
         }
     }
@@ -44,7 +47,7 @@
     private record Message(Object target, Runnable delivery, Runnable onLoss) {}
 
     private final Random random;
-    private final OperationFlaw flaw;
+    private final OperationDefect defect;
     private final ManualClock clock = new ManualClock(0);
     private final OperationTimes times;
     private final List<HomeTable> log = new ArrayList<>();
@@ -54,18 +57,18 @@
     private final Map<OperationId, Long> firstUseMillis = new HashMap<>();
     private final Map<OperationId, Integer> runs = new HashMap<>();
     private final List<Call> answered = new ArrayList<>();
-    private final int jumpEvery;
-    private final int failEvery;
+    private final int stepsPerClockJump;
+    private final int stepsPerFault;
     private long keyCount;
     private long lastIncarnation = 1;
     private boolean isLogDown;
 
-    OperationWorld(long seed, OperationFlaw flaw) {
+    OperationSimulation(long seed, OperationDefect defect) {
         this.random = new Random(seed);
-        this.jumpEvery = 20 + random.nextInt(300);
-        this.failEvery = 10 + random.nextInt(100);
-        this.flaw = flaw;
-        this.times = flaw.times();
+        this.stepsPerClockJump = 20 + random.nextInt(300);
+        this.stepsPerFault = 10 + random.nextInt(100);
+        this.defect = defect;
+        this.times = defect.times();
         for (String name : List.of("a", "b", "c")) {
             agents.add(startAgent(new AgentIncarnation(new InstanceId(name), 1)));
         }
@@ -73,28 +76,28 @@
                 "bookings", 1, agents.stream().map(agent -> agent.id).toList()));
     }
 
-    /** Runs the schedule and returns the first broken promise. */
+    /** Runs the schedule and returns the first violated invariant. */
     Optional<String> run() {
         for (int i = 0; i < STEPS; i++) {
             step();
         }
-        agents.forEach(agent -> agent.isFrozen = false);
-        entries.forEach(entry -> entry.isFrozen = false);
+        agents.forEach(agent -> agent.isPaused = false);
+        entries.forEach(entry -> entry.isPaused = false);
         while (!network.isEmpty()) {
             deliver(network.remove(0));
         }
-        clock.advanceMillis(OperationFlaw.DEADLINE_MILLIS);
-        passDeadlines();
-        return firstBrokenPromise();
+        clock.advanceMillis(OperationDefect.DEADLINE_MILLIS);
+        expireDeadlines();
+        return firstViolation();
     }
 
-    int answeredWith(Outcome outcome) {
+    int countAnswers(Outcome outcome) {
         return (int) answered.stream()
                 .filter(call -> call.answer.outcome() == outcome)
                 .count();
     }
 
-    private Optional<String> firstBrokenPromise() {
+    private Optional<String> firstViolation() {
         for (Map.Entry<OperationId, Integer> run : runs.entrySet()) {
             if (run.getValue() > 1) {
                 return Optional.of(run.getKey() + " ran " + run.getValue() + " times");
@@ -103,33 +106,33 @@
         for (Call call : answered) {
             int count = runs.getOrDefault(call.id, 0);
             if (call.answer.outcome() == Outcome.NOT_RUN && count > 0) {
-                return Optional.of(call.id + " ran after \"not run\"");
+                return Optional.of(call.id + " ran although the answer was \"not run\"");
             }
             if (call.answer.outcome() == Outcome.DONE && count != 1) {
-                return Optional.of(call.id + " did not run though \"done\"");
+                return Optional.of(call.id + " did not run exactly once although the answer was \"done\"");
             }
         }
         boolean isOpen = entries.stream().anyMatch(entry -> !entry.calls.isEmpty());
-        return isOpen ? Optional.of("a caller got no answer") : Optional.empty();
+        return isOpen ? Optional.of("a caller received no answer") : Optional.empty();
     }
 
     private void step() {
-        if (random.nextInt(jumpEvery) == 0) {
-            clock.advanceMillis(random.nextInt(2 * OperationFlaw.WINDOW_MILLIS));
+        if (random.nextInt(stepsPerClockJump) == 0) {
+            clock.advanceMillis(random.nextInt(2 * OperationDefect.WINDOW_MILLIS));
         }
-        if (random.nextInt(failEvery) == 0) {
-            fail();
+        if (random.nextInt(stepsPerFault) == 0) {
+            injectFault();
         }
         int choice = random.nextInt(100);
         if (choice < 65 && !network.isEmpty()) {
-            moveMessage();
+            processMessage();
         } else if (choice < 75) {
             clock.advanceMillis(random.nextInt(12));
-            passDeadlines();
+            expireDeadlines();
         } else if (choice < 83) {
             sendRequest();
         } else if (choice < 95) {
-            tendAgent(pick(agents));
+            updateAgent(pick(agents));
         } else {
             Entry entry = pick(entries);
             boolean isStale = random.nextInt(4) == 0;
@@ -137,30 +140,31 @@
         }
     }
 
-    private void fail() {
+    private void injectFault() {
         switch (random.nextInt(10)) {
             case 0 -> replaceAgent(pick(agents));
             case 1 -> changeTable();
             case 2 -> pick(entries).calls.clear();
             case 3 -> isLogDown = random.nextInt(3) == 0;
-            case 4 -> pick(agents).isFrozen = true;
-            case 5 -> pick(entries).isFrozen = true;
-            case 6 -> pick(agents).isCutOff = true;
-            case 7 -> agents.forEach(agent -> agent.isCutOff &= random.nextInt(3) > 0);
-            case 8 -> agents.forEach(agent -> agent.isFrozen = false);
-            default -> entries.forEach(entry -> entry.isFrozen = false);
+            case 4 -> pick(agents).isPaused = true;
+            case 5 -> pick(entries).isPaused = true;
+            case 6 -> pick(agents).isDisconnected = true;
+            case 7 -> agents.forEach(agent -> agent.isDisconnected &= random.nextInt(3) > 0);
+            case 8 -> agents.forEach(agent -> agent.isPaused = false);
+            default -> entries.forEach(entry -> entry.isPaused = false);
         }
     }
 
-    private void moveMessage() {
+    private void processMessage() {
         Message message = network.get(random.nextInt(network.size()));
-        int fate = random.nextInt(20);
-        if (fate > 1) {
+        // 0 and 1 leave the message in the network, so that it can be delivered again; 2 loses it.
+        int choice = random.nextInt(20);
+        if (choice > 1) {
             network.remove(message);
         }
-        if (fate == 2) {
+        if (choice == 2) {
             message.onLoss().run();
-        } else if (isFrozen(message.target())) {
+        } else if (isPaused(message.target())) {
             network.add(message);
         } else {
             deliver(message);
@@ -168,23 +172,24 @@
     }
 
     private void deliver(Message message) {
-        boolean isGone = message.target() instanceof SimulatedAgent agent && !agents.contains(agent);
-        (isGone ? message.onLoss() : message.delivery()).run();
+        boolean isStopped = message.target() instanceof SimulatedAgent agent && !agents.contains(agent);
+        (isStopped ? message.onLoss() : message.delivery()).run();
     }
 
-    private static boolean isFrozen(Object target) {
-        return target instanceof SimulatedAgent agent && agent.isFrozen
-                || target instanceof Entry entry && entry.isFrozen;
+    private static boolean isPaused(Object target) {
+        return target instanceof SimulatedAgent agent && agent.isPaused
+                || target instanceof Entry entry && entry.isPaused;
     }
 
     private void sendRequest() {
         OperationId id = random.nextInt(3) == 0 ? newKey() : knownKey();
-        if (clock.monotonicMillis() - firstUseMillis.get(id) > OperationFlaw.WINDOW_MILLIS) {
+        if (clock.monotonicMillis() - firstUseMillis.get(id) > OperationDefect.WINDOW_MILLIS) {
             return;
         }
         Entry entry = pick(entries);
-        long limitMillis =
-                flaw == OperationFlaw.NO_ENTRY_DEADLINE ? OperationFlaw.NEVER_MILLIS : OperationFlaw.DEADLINE_MILLIS;
+        long limitMillis = defect == OperationDefect.NO_ENTRY_DEADLINE
+                ? OperationDefect.NEVER_MILLIS
+                : OperationDefect.DEADLINE_MILLIS;
         long deadlineMillis = clock.monotonicMillis() + limitMillis;
         OperationCall operation = new OperationCall(id, deadlineMillis, () -> tableOf(entry), clock, event -> {});
         Call call = new Call(id, operation, deadlineMillis);
@@ -206,11 +211,11 @@
 
     private OperationId knownKey() {
         List<OperationId> recent = firstUseMillis.keySet().stream()
-                .filter(id -> clock.monotonicMillis() - firstUseMillis.get(id) <= OperationFlaw.WINDOW_MILLIS)
+                .filter(id -> clock.monotonicMillis() - firstUseMillis.get(id) <= OperationDefect.WINDOW_MILLIS)
                 .sorted(Comparator.<OperationId, Long>comparing(firstUseMillis::get)
                         .thenComparing(OperationId::key))
                 .toList();
-        int firstInUse = Math.max(0, recent.size() - KEYS_IN_USE);
+        int firstInUse = Math.max(0, recent.size() - MAX_KEYS_IN_USE);
         return recent.isEmpty() ? newKey() : pick(recent.subList(firstInUse, recent.size()));
     }
 
@@ -220,25 +225,27 @@
 
     private void act(Entry entry, Call call, OperationStep step) {
         if (step instanceof OperationStep.RequestTicket ask) {
-            toAgent(
+            sendToAgent(
                     entry,
                     call,
                     ask.home(),
-                    agent -> reply(
+                    agent -> sendReply(
                             entry,
                             call,
                             () -> act(
-                                    entry, call, call.call.takeTicketReply(agent.guard.requestTicket(call.id, BODY)))));
+                                    entry,
+                                    call,
+                                    call.operation.onTicketReply(agent.guard.requestTicket(call.id, BODY)))));
         } else if (step instanceof OperationStep.SendRequest send) {
-            toAgent(entry, call, send.ticket().issuer(), agent -> start(entry, call, agent, send.ticket()));
+            sendToAgent(entry, call, send.ticket().issuer(), agent -> start(entry, call, agent, send.ticket()));
         } else if (step instanceof OperationStep.RequestRevocation ask) {
-            if (flaw == OperationFlaw.NOT_RUN_WITHOUT_PROOF) {
+            if (defect == OperationDefect.NOT_RUN_WITHOUT_PROOF) {
                 conclude(entry, call, OperationAnswer.notRun(ErrorCode.ENDPOINT_FAILED));
                 return;
             }
-            toAgent(entry, call, ask.home(), agent -> {
+            sendToAgent(entry, call, ask.home(), agent -> {
                 GuardDecision decision = agent.guard.revoke(call.id, BODY);
-                reply(entry, call, () -> act(entry, call, call.call.takeRevocationReply(decision)));
+                sendReply(entry, call, () -> act(entry, call, call.operation.onRevocationReply(decision)));
             });
         } else if (step instanceof OperationStep.AnswerCaller last) {
             conclude(entry, call, last.answer());
@@ -252,14 +259,14 @@
         }
     }
 
-    private void toAgent(Entry entry, Call call, AgentIncarnation to, Consumer<SimulatedAgent> delivery) {
-        Runnable onLoss = () -> reply(entry, call, () -> act(entry, call, call.call.takeLoss()));
+    private void sendToAgent(Entry entry, Call call, AgentIncarnation to, Consumer<SimulatedAgent> delivery) {
+        Runnable onLoss = () -> sendReply(entry, call, () -> act(entry, call, call.operation.onHomeLost()));
         Optional<SimulatedAgent> target =
                 agents.stream().filter(agent -> agent.id.equals(to)).findFirst();
         target.ifPresentOrElse(agent -> network.add(new Message(agent, () -> delivery.accept(agent), onLoss)), onLoss);
     }
 
-    private void reply(Entry entry, Call call, Runnable delivery) {
+    private void sendReply(Entry entry, Call call, Runnable delivery) {
         Runnable whileOpen = () -> {
             if (entry.calls.contains(call)) {
                 delivery.run();
@@ -271,7 +278,7 @@
     private void start(Entry entry, Call call, SimulatedAgent agent, OperationTicket ticket) {
         GuardDecision decision = agent.guard.start(ticket, BODY);
         Consumer<GuardDecision> toCaller =
-                answer -> reply(entry, call, () -> act(entry, call, call.call.takeAnswer(answer)));
+                answer -> sendReply(entry, call, () -> act(entry, call, call.operation.onAnswer(answer)));
         if (decision instanceof GuardDecision.RunNow run) {
             agent.waiting.computeIfAbsent(run.id(), id -> new ArrayList<>()).add(toCaller);
             callService(agent, run.id());
@@ -282,18 +289,18 @@
         }
     }
 
-    /** The request is on its way to the service: it may run long after, also when the agent has died meanwhile. */
+    /** Sends the request to the service, where it may run much later, even after the agent has crashed. */
     private void callService(SimulatedAgent agent, OperationId id) {
-        Runnable delivery = onlyOnce(() -> {
+        Runnable delivery = runOnce(() -> {
             runs.merge(id, 1, Integer::sum);
             OperationResult result = new OperationResult(201, "", new byte[0]);
             network.add(new Message(
-                    agent, () -> finish(agent, id, agent.guard.finish(id, result)), () -> loseAnswer(agent, id)));
+                    agent, () -> finish(agent, id, agent.guard.finish(id, result)), () -> finishInDoubt(agent, id)));
         });
-        network.add(new Message(clock, delivery, onlyOnce(() -> loseAnswer(agent, id))));
+        network.add(new Message(clock, delivery, runOnce(() -> finishInDoubt(agent, id))));
     }
 
-    private static Runnable onlyOnce(Runnable action) {
+    private static Runnable runOnce(Runnable action) {
         boolean[] isDone = new boolean[1];
         return () -> {
             if (!isDone[0]) {
@@ -303,8 +310,8 @@
         };
     }
 
-    private void loseAnswer(SimulatedAgent agent, OperationId id) {
-        finish(agent, id, agent.guard.loseAnswer(id));
+    private void finishInDoubt(SimulatedAgent agent, OperationId id) {
+        finish(agent, id, agent.guard.finishInDoubt(id));
     }
 
     private void finish(SimulatedAgent agent, OperationId id, OperationAnswer answer) {
@@ -314,19 +321,19 @@
         }
     }
 
-    private void passDeadlines() {
+    private void expireDeadlines() {
         for (Entry entry : entries) {
             List.copyOf(entry.calls).stream()
-                    .filter(call -> !entry.isFrozen && clock.monotonicMillis() >= call.deadlineMillis)
-                    .forEach(call -> act(entry, call, call.call.takeDeadline()));
-            if (flaw == OperationFlaw.NO_ENTRY_DEADLINE && network.isEmpty()) {
+                    .filter(call -> !entry.isPaused && clock.monotonicMillis() >= call.deadlineMillis)
+                    .forEach(call -> act(entry, call, call.operation.onDeadlineExceeded()));
+            if (defect == OperationDefect.NO_ENTRY_DEADLINE && network.isEmpty()) {
                 entry.calls.clear();
             }
         }
     }
 
-    private void tendAgent(SimulatedAgent agent) {
-        if (agent.isFrozen || agent.isCutOff) {
+    private void updateAgent(SimulatedAgent agent) {
+        if (agent.isPaused || agent.isDisconnected) {
             return;
         }
         if (!isLogDown) {
@@ -338,14 +345,14 @@
         HomeTable table = log.get(log.size() - 1);
         for (AgentIncarnation home : agent.guard.missingHandovers()) {
             agents.stream()
-                    .filter(other -> other.id.equals(home) && !other.isCutOff)
+                    .filter(other -> other.id.equals(home) && !other.isDisconnected)
                     .findFirst()
                     .ifPresent(other -> network.add(new Message(other, () -> handOver(other, table, agent), () -> {})));
         }
     }
 
     private void handOver(SimulatedAgent from, HomeTable table, SimulatedAgent to) {
-        if (flaw == OperationFlaw.HANDOVER_WITHOUT_SEAL) {
+        if (defect == OperationDefect.HANDOVER_WITHOUT_SEAL) {
             Handover unsealed = new Handover(from.id, to.id, table.epoch(), List.of(), List.of());
             network.add(new Message(to, () -> to.guard.receive(unsealed), () -> {}));
             return;
@@ -356,12 +363,12 @@
         }
     }
 
-    /** Starts a new incarnation; the old one has died, or is only frozen and wakes up later. */
+    /** Starts a new incarnation; the old one has crashed, or is paused and disconnected and may resume later. */
     private void replaceAgent(SimulatedAgent old) {
         SimulatedAgent next = startAgent(new AgentIncarnation(old.id.agent(), ++lastIncarnation));
         if (agents.size() < MAX_AGENTS && random.nextBoolean()) {
-            old.isFrozen = true;
-            old.isCutOff = true;
+            old.isPaused = true;
+            old.isDisconnected = true;
         } else {
             agents.remove(old);
         }
@@ -369,11 +376,11 @@
     }
 
     private SimulatedAgent startAgent(AgentIncarnation id) {
-        HomeGuard guard = new HomeGuard(id, "bookings", times, LIMITS, clock, event -> {});
+        AtMostOnceGuard guard = new AtMostOnceGuard(id, "bookings", times, LIMITS, clock, event -> {});
         return new SimulatedAgent(id, guard);
     }
 
-    /** Proposes any mix of present incarnations, healthy or not. */
+    /** Proposes a table of randomly chosen running incarnations, whether or not they are reachable. */
     private void changeTable() {
         if (isLogDown) {
             return;
--- a/core/src/test/java/org/jasminehub/core/operation/SimulatedAgent.java
+++ b/core/src/test/java/org/jasminehub/core/operation/SimulatedAgent.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One agent process of a simulated schedule. */
+/** An agent process in the simulation. */
 final class SimulatedAgent {
     final AgentIncarnation id;
-    final HomeGuard guard;
+    final AtMostOnceGuard guard;
     final Map<OperationId, List<Consumer<GuardDecision>>> waiting = new HashMap<>();
-    boolean isFrozen;
-    boolean isCutOff;
+    boolean isPaused;
+    boolean isDisconnected;
 
-    SimulatedAgent(AgentIncarnation id, HomeGuard guard) {
+    SimulatedAgent(AgentIncarnation id, AtMostOnceGuard guard) {
         this.id = id;
         this.guard = guard;
     }
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationAnswerListener.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationAnswerListener.java
@@ -70,22 +70,22 @@
         ErrorCode code = ErrorCode.of(refusal.getCode());
         boolean isUnknown = Outcome.of(refusal.getOutcome()) == Outcome.UNKNOWN;
         end(call -> isUnknown
-                ? call.takeAnswer(new GuardDecision.Answered(OperationAnswer.unknown(code)))
-                : call.takeRefusal(code));
+                ? call.onAnswer(new GuardDecision.Answered(OperationAnswer.unknown(code)))
+                : call.onRequestRefused(code));
     }
 
     @Override
     public void onLost(boolean sent) {
-        end(OperationCall::takeLoss);
+        end(OperationCall::onHomeLost);
     }
 
     private void take(AnswerFrame frame) {
         FrameDecision decision = assembler.take(frame);
         if (decision instanceof FrameDecision.Complete complete) {
             OperationResult result = new OperationResult(head.getStatus(), contentType(), join(complete.data()));
-            end(call -> call.takeAnswer(new GuardDecision.Answered(OperationAnswer.done(result))));
+            end(call -> call.onAnswer(new GuardDecision.Answered(OperationAnswer.done(result))));
         } else if (decision instanceof FrameDecision.Broken) {
-            end(OperationCall::takeLoss);
+            end(OperationCall::onHomeLost);
         }
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
@@ -63,7 +63,7 @@
 
     private CompletionStage<Answer> start(Supplier<OperationStep> begin) {
         CompletableFuture.delayedExecutor(remainingMillis, TimeUnit.MILLISECONDS)
-                .execute(() -> advance(OperationCall::takeDeadline));
+                .execute(() -> advance(OperationCall::onDeadlineExceeded));
         advance(begun -> begin.get());
         return answer;
     }
@@ -78,9 +78,9 @@
 
     private void act(OperationStep step) {
         if (step instanceof OperationStep.RequestTicket ask) {
-            ask(ask.home(), new OperationMessage.AskTicket(id, digest()), OperationCall::takeTicketReply);
+            ask(ask.home(), new OperationMessage.AskTicket(id, digest()), OperationCall::onTicketReply);
         } else if (step instanceof OperationStep.RequestRevocation ask) {
-            ask(ask.home(), new OperationMessage.AskRevocation(id, digest()), OperationCall::takeRevocationReply);
+            ask(ask.home(), new OperationMessage.AskRevocation(id, digest()), OperationCall::onRevocationReply);
         } else if (step instanceof OperationStep.SendRequest send) {
             send(send.ticket());
         } else if (step instanceof OperationStep.AnswerCaller last) {
@@ -109,13 +109,13 @@
     private static OperationStep takeReply(OperationCall call, @Nullable OperationMessage reply, ReplyEvent event) {
         return reply instanceof OperationMessage.Decided decided
                 ? event.take(call, decided.decision())
-                : call.takeLoss();
+                : call.onHomeLost();
     }
 
     private void send(OperationTicket ticket) {
         EndpointLink link = homes.find(ticket.issuer()).orElse(null);
         if (link == null) {
-            advance(OperationCall::takeLoss);
+            advance(OperationCall::onHomeLost);
             return;
         }
         Header carried = Header.newBuilder()
