--- a/bench/src/main/java/org/jasminehub/bench/documents/DocumentsBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/documents/DocumentsBench.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import java.util.List;
 import java.util.Locale;
-import org.jasminehub.core.history.SpreadPolicy;
+import org.jasminehub.core.history.RecordSourcePolicy;
 
 /**
  * Prints what documents cost, and how fast and at what price a change spreads in small and large fleets.
@@ -41,7 +41,7 @@
     }
 
     private static void print(PrintStream out, Fleet fleet, MeasuredSteps steps) {
-        int hops = new SpreadPolicy(READERS_PER_DOMAIN, FAN_OUT).hops(fleet.instancesPerDomain());
+        int hops = new RecordSourcePolicy(READERS_PER_DOMAIN, FAN_OUT).hops(fleet.instancesPerDomain());
         double hopMillis = POLL_INTERVAL_MILLIS + ROUND_TRIP_MILLIS + steps.decideMicros() / MICROS_PER_MILLI;
         int links = 1 + (hops == 0 ? 0 : FAN_OUT);
         double recordRate = CHANGES_PER_DAY / SECONDS_PER_DAY * steps.recordBytes();
--- a/bench/src/main/java/org/jasminehub/bench/routing/FakeEntry.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/FakeEntry.java
@@ -52,7 +52,7 @@
     }
 
     void take(Call call) {
-        retries.firstAttempt(subject(call));
+        retries.recordFirstAttempt(subject(call));
         send(call);
     }
 
@@ -113,7 +113,7 @@
                 tracker.recordFinished(agent.id());
                 RetryDecision decision = retries.decide(new FailedAttempt(
                         subject(call), call.attempts, refused.code(), Outcome.NOT_RUN, remainingMillis(call), 0));
-                if (decision == RetryDecision.AGAIN) {
+                if (decision == RetryDecision.RETRY_ALLOWED) {
                     send(call);
                 }
             });
--- a/core/src/main/java/org/jasminehub/core/answer/DeliveryRule.java
+++ b/core/src/main/java/org/jasminehub/core/answer/DeliveryRule.java
@@ -3,14 +3,14 @@
 import org.jasminehub.core.document.RouteKind;
 
 /**
- * What may be done with the answers of a kind of route.
+ * How responses of a kind of route may be delivered.
  *
- * @param isRelayedAtOnce whether parts go to the caller as they come; otherwise they are held back until the end
- * @param mayResume whether a cut answer goes on elsewhere from the events that were relayed
- * @param mayRestart whether a cut answer of which nothing was relayed is asked for again
- * @param mayShare whether one answer may serve several requests, from a cache or by merging them
- * @param mayHedge whether a second endpoint may be asked while the first has not answered
- * @param needsCertainEndpoint whether endpoints in doubt are left out
+ * @param isRelayedAtOnce whether chunks are relayed to the caller as they arrive, instead of held back until the end
+ * @param mayResume whether another attempt may continue an interrupted response after the relayed events
+ * @param mayRestart whether another attempt may be made if nothing of an interrupted response was relayed
+ * @param mayShare whether one response may serve several requests, from a cache or by merging the requests
+ * @param mayHedge whether the request may be sent to a second endpoint while the first has not responded
+ * @param needsConfirmedEndpoint whether only endpoints that pass {@link FreshReadPolicy} may be used
  */
 public record DeliveryRule(
         boolean isRelayedAtOnce,
@@ -18,13 +18,13 @@
         boolean mayRestart,
         boolean mayShare,
         boolean mayHedge,
-        boolean needsCertainEndpoint) {
+        boolean needsConfirmedEndpoint) {
     private static final DeliveryRule STREAM = new DeliveryRule(true, true, true, true, true, false);
     private static final DeliveryRule WHOLE = new DeliveryRule(false, false, true, true, true, false);
     private static final DeliveryRule NON_IDEMPOTENT = new DeliveryRule(false, false, false, false, false, false);
     private static final DeliveryRule FRESH_READ = new DeliveryRule(false, false, true, false, false, true);
 
-    /** Returns the rule of {@code kind}. */
+    /** Returns the rule for routes of {@code kind}. */
     public static DeliveryRule of(RouteKind kind) {
         return switch (kind) {
             case STREAM -> STREAM;
--- a/core/src/main/java/org/jasminehub/core/answer/DropReason.java
+++ b/core/src/main/java/org/jasminehub/core/answer/DropReason.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.answer;
 
-/** Why a frame does not belong to the answer. */
+/** Why a frame is not part of the response. */
 public enum DropReason {
-    /** It answers another request. */
+    /** The frame belongs to another request. */
     OTHER_REQUEST,
-    /** It comes from an attempt that was given up. */
+    /** The frame belongs to an attempt that was replaced or has ended. */
     OLD_ATTEMPT,
-    /** It came before. */
+    /** The chunk has already arrived. */
     REPEATED,
-    /** The answer has ended, whole or not. */
+    /** The response has ended, complete or not. */
     AFTER_END
 }
--- a/core/src/main/java/org/jasminehub/core/answer/FreshReadPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/answer/FreshReadPolicy.java
@@ -7,13 +7,14 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Chooses the endpoints that may answer a read that must show the present state.
+ * Selects the endpoints that may serve a read that must return the current state.
  *
- * <p>An endpoint is in doubt when its agent has been silent, its lease may have lapsed, or its agent or the list says
- * that it leaves or the list does not show it. An outage of the list alone puts nobody in doubt.
+ * <p>An endpoint is confirmed if its agent has been in contact recently, its lease is valid, and both its agent and the
+ * platform's instance list report it as live. The last list that was read counts, so an outage of the list alone
+ * excludes no endpoint.
  *
  * <pre>{@code
- * List<EndpointId> certain = new FreshReadPolicy(2_000, 200, clock).certain(standings);
+ * List<EndpointId> confirmed = new FreshReadPolicy(2_000, 200, clock).confirmed(statuses);
  * }</pre>
  *
  * <p>Immutable.
@@ -23,27 +24,33 @@
     private final long leaseMarginMillis;
     private final Clock clock;
 
-    /** Creates a policy; a lease counts as lapsed {@code leaseMarginMillis} before its end. */
+    /**
+     * Creates a policy.
+     *
+     * @param maxSilenceMillis how long ago the last contact with an agent may be
+     * @param leaseMarginMillis how long before its end a lease is treated as expired
+     * @param clock the clock of contact times and leases
+     */
     public FreshReadPolicy(long maxSilenceMillis, long leaseMarginMillis, Clock clock) {
         this.maxSilenceMillis = Checks.positive("maxSilenceMillis", maxSilenceMillis);
         this.leaseMarginMillis = Checks.notNegative("leaseMarginMillis", leaseMarginMillis);
         this.clock = clock;
     }
 
-    /** Returns the endpoints that are beyond doubt, in the order given. */
-    public List<EndpointId> certain(List<EndpointStanding> standings) {
-        return standings.stream()
-                .filter(this::isCertain)
-                .map(EndpointStanding::id)
+    /** Returns the confirmed endpoints, in the given order. */
+    public List<EndpointId> confirmed(List<EndpointStatus> statuses) {
+        return statuses.stream()
+                .filter(this::isConfirmed)
+                .map(EndpointStatus::id)
                 .toList();
     }
 
-    /** Tells whether the endpoint is beyond doubt. */
-    public boolean isCertain(EndpointStanding standing) {
+    /** Returns whether the endpoint is confirmed. */
+    public boolean isConfirmed(EndpointStatus status) {
         long nowMillis = clock.monotonicMillis();
-        boolean isHeard = nowMillis - standing.heardMillis() <= maxSilenceMillis;
-        boolean isLeased = standing.leaseUntilMillis() - leaseMarginMillis > nowMillis;
-        boolean isLive = standing.ownState() == MemberState.LIVE && standing.listedState() == MemberState.LIVE;
-        return isHeard && isLeased && isLive;
+        boolean hasRecentContact = nowMillis - status.lastContactMillis() <= maxSilenceMillis;
+        boolean isLeased = status.leaseUntilMillis() - leaseMarginMillis > nowMillis;
+        boolean isLive = status.reportedState() == MemberState.LIVE && status.listedState() == MemberState.LIVE;
+        return hasRecentContact && isLeased && isLive;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/answer/AnswerAssembler.java
+++ b/core/src/main/java/org/jasminehub/core/answer/ResponseAssembler.java
@@ -8,25 +8,26 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Puts one request's answer together from the frames of its attempts.
+ * Assembles the response to one request from the frames of its attempts.
  *
- * <p>Only the newest attempt's frames count, each once and in order. An answer is whole only when the attempt said so
- * and every chunk has come; everything else is a cut. A stream that was cut goes on with the event after the last one
- * relayed. A whole answer is held back until it is complete, up to a size from which on it is relayed as it comes.
+ * <p>Only frames of the newest attempt are used, each once and in order. A response is complete only if the attempt
+ * sent an end frame and every chunk has arrived; otherwise the attempt was interrupted. An interrupted stream resumes
+ * with the event after the last one relayed. A response that is not a stream is held back until it is complete,
+ * unless it exceeds a size limit; from then on its chunks are relayed as they arrive.
  *
  * <pre>{@code
- * AnswerAssembler assembler = new AnswerAssembler(requestId, DeliveryRule.of(route.kind()), MAX_HELD_BYTES);
+ * ResponseAssembler assembler = new ResponseAssembler(requestId, DeliveryRule.of(route.kind()), MAX_HELD_BYTES);
  * assembler.startAttempt(1);
- * FrameDecision decision = assembler.take(frame);
+ * FrameDecision decision = assembler.onFrame(frame);
  * }</pre>
  *
- * <p>Arguments must not be null. Not safe for use by several threads.
+ * <p>Arguments must not be null. Not thread-safe.
  */
-public final class AnswerAssembler {
+public final class ResponseAssembler {
     private final RequestId requestId;
     private final DeliveryRule rule;
     private final long maxHeldBytes;
-    private final List<byte[]> held = new ArrayList<>();
+    private final List<byte[]> heldChunks = new ArrayList<>();
     private long heldBytes;
     private long relayedChunks;
     private long nextSequence;
@@ -34,35 +35,35 @@
     private boolean isAttemptOpen;
     private boolean isEnded;
 
-    /** Creates the assembler of a request that holds back at most {@code maxHeldBytes} of an answer. */
-    public AnswerAssembler(RequestId requestId, DeliveryRule rule, long maxHeldBytes) {
+    /** Creates an assembler that holds back at most {@code maxHeldBytes} of the response. */
+    public ResponseAssembler(RequestId requestId, DeliveryRule rule, long maxHeldBytes) {
         this.requestId = requestId;
         this.rule = rule;
         this.maxHeldBytes = Checks.notNegative("maxHeldBytes", maxHeldBytes);
     }
 
-    /** Makes {@code newAttempt}, which must be above earlier ones, the only one whose frames count. */
+    /** Starts {@code newAttempt}, whose number must be higher than before; frames of earlier attempts are dropped. */
     public void startAttempt(int newAttempt) {
         Checks.that(newAttempt > attempt, "attempt", newAttempt, "above " + attempt);
         attempt = newAttempt;
         nextSequence = 0;
-        held.clear();
+        heldChunks.clear();
         heldBytes = 0;
         isAttemptOpen = !isEnded;
     }
 
-    /** Returns how many events the caller has; a new attempt of a stream starts after them. */
+    /** Returns the number of events relayed to the caller; a new attempt of a stream resumes after them. */
     public long relayedEvents() {
         return relayedChunks;
     }
 
-    /** Tells whether the answer has ended, whole or given up. */
+    /** Returns whether the response has ended, either complete or given up. */
     public boolean isEnded() {
         return isEnded;
     }
 
-    /** Takes a frame that has arrived. */
-    public FrameDecision take(AnswerFrame frame) {
+    /** Processes a frame that has arrived. */
+    public FrameDecision onFrame(ResponseFrame frame) {
         if (!frame.requestId().equals(requestId)) {
             return new FrameDecision.Drop(DropReason.OTHER_REQUEST);
         }
@@ -72,52 +73,52 @@
         if (frame.attempt() != attempt || !isAttemptOpen) {
             return new FrameDecision.Drop(DropReason.OLD_ATTEMPT);
         }
-        return frame instanceof AnswerFrame.Chunk chunk ? takeChunk(chunk) : takeEnd((AnswerFrame.End) frame);
+        return frame instanceof ResponseFrame.Chunk chunk ? onChunk(chunk) : onEnd((ResponseFrame.End) frame);
     }
 
-    /** Takes the end of {@code cutAttempt} without an end frame, for whatever reason. */
-    public CutDecision cut(int cutAttempt) {
-        if (isEnded || cutAttempt != attempt) {
-            return new CutDecision.Ignore();
+    /** Called when {@code interruptedAttempt} ends without an end frame, for any reason. */
+    public InterruptionDecision onInterrupted(int interruptedAttempt) {
+        if (isEnded || interruptedAttempt != attempt) {
+            return new InterruptionDecision.Ignore();
         }
         isAttemptOpen = false;
-        held.clear();
+        heldChunks.clear();
         heldBytes = 0;
         if (relayedChunks > 0 && rule.mayResume()) {
-            return new CutDecision.Resume(relayedChunks);
+            return new InterruptionDecision.Resume(relayedChunks);
         }
         if (relayedChunks == 0 && rule.mayRestart()) {
-            return new CutDecision.Restart();
+            return new InterruptionDecision.Restart();
         }
         isEnded = true;
         ErrorCode code = relayedChunks > 0 ? ErrorCode.ANSWER_CUT : ErrorCode.OUTCOME_UNKNOWN;
-        return new CutDecision.GiveUp(code, Outcome.UNKNOWN);
+        return new InterruptionDecision.GiveUp(code, Outcome.UNKNOWN);
     }
 
-    /** Ends the answer: no further attempt is made and no frame counts any more. */
+    /** Ends the response: no further attempt is made and later frames are dropped. */
     public void giveUp() {
         isEnded = true;
         isAttemptOpen = false;
-        held.clear();
+        heldChunks.clear();
     }
 
-    private FrameDecision takeChunk(AnswerFrame.Chunk chunk) {
+    private FrameDecision onChunk(ResponseFrame.Chunk chunk) {
         if (chunk.sequence() < nextSequence) {
             return new FrameDecision.Drop(DropReason.REPEATED);
         }
         if (chunk.sequence() > nextSequence) {
-            return breakAttempt(chunk.sequence());
+            return failAttempt(chunk.sequence());
         }
         nextSequence++;
-        held.add(chunk.data());
+        heldChunks.add(chunk.data());
         heldBytes += chunk.data().length;
         boolean isHeldBack = !rule.isRelayedAtOnce() && relayedChunks == 0 && heldBytes <= maxHeldBytes;
         return isHeldBack ? new FrameDecision.Hold() : new FrameDecision.Relay(release());
     }
 
-    private FrameDecision takeEnd(AnswerFrame.End end) {
+    private FrameDecision onEnd(ResponseFrame.End end) {
         if (end.chunkCount() != nextSequence) {
-            return breakAttempt(end.chunkCount());
+            return failAttempt(end.chunkCount());
         }
         isEnded = true;
         isAttemptOpen = false;
@@ -125,15 +126,15 @@
         return new FrameDecision.Complete(rest, relayedChunks);
     }
 
-    private FrameDecision breakAttempt(long foundSequence) {
+    private FrameDecision failAttempt(long foundSequence) {
         isAttemptOpen = false;
         return new FrameDecision.Broken(nextSequence, foundSequence);
     }
 
     private List<byte[]> release() {
-        List<byte[]> released = List.copyOf(held);
+        List<byte[]> released = List.copyOf(heldChunks);
         relayedChunks += released.size();
-        held.clear();
+        heldChunks.clear();
         heldBytes = 0;
         return released;
     }
--- a/core/src/main/java/org/jasminehub/core/answer/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/answer/package-info.java
@@ -1,4 +1,4 @@
-/** Putting a request's answer together from frames, so that callers get it whole or are told that it is not. */
+/** Assembles responses from frames, so that each caller gets a complete response or an error. */
 @NullMarked
 package org.jasminehub.core.answer;
 
--- a/core/src/main/java/org/jasminehub/core/drain/AgentDrainPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/drain/AgentDrainPolicy.java
@@ -3,11 +3,13 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Decides how far the planned stop of an agent and its endpoint has got.
+ * Decides the phase of a drain of an agent and its endpoint.
  *
- * <p>From the announcement on, entry instances choose other endpoints; requests that were under way are still taken for
- * a few seconds. Operations whose keys live here are taken until their new homes have them, since nobody else may run
- * them. Then the agent finishes what it has, for a bounded time.
+ * <p>The drain starts with an announcement, after which entry instances choose other endpoints. For the announcement
+ * period the agent still accepts requests, because some entry instances have not received the announcement or have
+ * requests in flight. Operations whose keys have their home on this agent are accepted until the keys have moved to
+ * their new homes, since no other agent may run them before that. The agent then completes its open requests, for a
+ * bounded time.
  *
  * <p>Immutable.
  */
@@ -18,8 +20,8 @@
     /**
      * Creates a policy.
      *
-     * @param announceMillis how long requests may still come from those who have not heard
-     * @param maxDrainMillis when the agent stops whatever remains, counted from the start
+     * @param announceMillis how long requests may arrive from instances that have not received the announcement
+     * @param maxDrainMillis the time after the start at which the agent stops even if requests are open
      */
     public AgentDrainPolicy(long announceMillis, long maxDrainMillis) {
         this.announceMillis = Checks.notNegative("announceMillis", announceMillis);
@@ -28,10 +30,10 @@
     }
 
     /**
-     * Returns the phase {@code elapsedMillis} after the start.
+     * Returns the phase at {@code elapsedMillis} after the start.
      *
-     * @param openRequests how many requests are still open
-     * @param areKeysMoved whether every operation key that lived here has a new home that took it over
+     * @param openRequests the number of open requests
+     * @param areKeysMoved whether every operation key of this agent has moved to its new home
      */
     public DrainPhase phase(long elapsedMillis, int openRequests, boolean areKeysMoved) {
         if (elapsedMillis >= maxDrainMillis) {
@@ -43,8 +45,12 @@
         return openRequests > 0 || !areKeysMoved ? DrainPhase.FINISHING : DrainPhase.STOPPED;
     }
 
-    /** Tells whether a new request is taken in {@code phase}; {@code isOwnKey} marks operations whose key lives here. */
-    public boolean takes(DrainPhase phase, boolean isOwnKey) {
+    /**
+     * Returns whether a new request is accepted in {@code phase}.
+     *
+     * @param isOwnKey whether the request is an operation whose key has its home on this agent
+     */
+    public boolean acceptsRequest(DrainPhase phase, boolean isOwnKey) {
         return phase == DrainPhase.ANNOUNCED || phase == DrainPhase.FINISHING && isOwnKey;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/drain/DrainEventKind.java
+++ b/core/src/main/java/org/jasminehub/core/drain/DrainEventKind.java
@@ -3,13 +3,13 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The events of planned stops. */
+/** Event kinds of drains. */
 public enum DrainEventKind implements EventKind {
-    /** A planned stop entered its next phase. */
+    /** A drain entered its next phase. */
     DRAIN_PHASE_CHANGED(7020, Severity.INFO, "A planned stop entered its next phase."),
-    /** A planned stop ended and cut nothing. */
+    /** A drain ended and interrupted no request. */
     DRAIN_ENDED(7021, Severity.INFO, "A planned stop ended and cut nothing."),
-    /** A planned stop reached its bound with requests open or operation keys not moved. */
+    /** A drain reached its time limit with open requests or with operation keys that had not moved. */
     DRAIN_CUT_SHORT(7022, Severity.ERROR, "A planned stop reached its bound with work left.");
 
     private final int number;
--- a/core/src/main/java/org/jasminehub/core/drain/DrainPhase.java
+++ b/core/src/main/java/org/jasminehub/core/drain/DrainPhase.java
@@ -1,11 +1,11 @@
 package org.jasminehub.core.drain;
 
-/** How far a planned stop has got; phases follow each other in this order. */
+/** The phases of a drain (the planned stop of an instance), in order. */
 public enum DrainPhase {
-    /** The instance has announced that it leaves and still takes requests from those who may not know. */
+    /** The instance has announced the drain and still accepts requests from senders that may not know about it. */
     ANNOUNCED,
-    /** It takes no new request and finishes those it has. */
+    /** The instance accepts no new requests and completes the open ones. */
     FINISHING,
-    /** It may end its process. */
+    /** The process may exit. */
     STOPPED
 }
--- a/core/src/main/java/org/jasminehub/core/drain/DrainReport.java
+++ b/core/src/main/java/org/jasminehub/core/drain/DrainReport.java
@@ -4,12 +4,12 @@
 import org.jasminehub.core.event.EventKind;
 
 /**
- * The account of a planned stop.
+ * The result of a drain.
  *
- * @param instance the instance that stopped
- * @param elapsedMillis how long the stop took
- * @param remainingRequests how many requests were still open and have been cut
- * @param areKeysMoved whether every operation key has a new home; true for an entry instance
+ * @param instance the instance that was drained
+ * @param elapsedMillis the duration of the drain
+ * @param remainingRequests the number of requests that were still open and have been interrupted
+ * @param areKeysMoved whether every operation key has moved to a new home; always true for an entry instance
  */
 public record DrainReport(String instance, long elapsedMillis, int remainingRequests, boolean areKeysMoved)
         implements Event {
@@ -18,7 +18,7 @@
         return isWhole() ? DrainEventKind.DRAIN_ENDED : DrainEventKind.DRAIN_CUT_SHORT;
     }
 
-    /** Tells whether nothing was cut and nothing left behind. */
+    /** Returns whether no request was interrupted and every operation key has moved. */
     public boolean isWhole() {
         return remainingRequests == 0 && areKeysMoved;
     }
--- a/core/src/main/java/org/jasminehub/core/drain/EntryDrain.java
+++ b/core/src/main/java/org/jasminehub/core/drain/EntryDrain.java
@@ -5,10 +5,10 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * The planned stop of one entry instance: its phase, its events and its report.
+ * The drain of one entry instance. Tracks the phase and emits an event for each phase and a final report.
  *
- * <p>Call {@link #advance()} at intervals until it returns {@link DrainPhase#STOPPED}. Not safe for use by several
- * threads, but for {@link #takesRequests}.
+ * <p>Call {@link #advance()} at intervals until it returns {@link DrainPhase#STOPPED}. Not thread-safe, except
+ * for {@link #acceptsRequests}.
  */
 public final class EntryDrain {
     private final String instance;
@@ -19,7 +19,7 @@
     private final long startedMillis;
     private volatile DrainPhase phase = DrainPhase.ANNOUNCED;
 
-    /** Starts the stop; the instance must have left the address list. */
+    /** Starts the drain; the instance must already have been removed from the address list. */
     public EntryDrain(
             String instance, EntryDrainPolicy policy, IntSupplier openRequests, Clock clock, EventSink events) {
         this.instance = instance;
@@ -31,7 +31,7 @@
         events.emit(new DrainPhaseChanged(instance, phase.name(), 0, openRequests.getAsInt()));
     }
 
-    /** Returns the present phase. */
+    /** Updates the phase and returns it. */
     public DrainPhase advance() {
         if (phase == DrainPhase.STOPPED) {
             return phase;
@@ -49,8 +49,8 @@
         return phase;
     }
 
-    /** Tells whether a new request is taken. */
-    public boolean takesRequests() {
+    /** Returns whether new requests are accepted. */
+    public boolean acceptsRequests() {
         return phase == DrainPhase.ANNOUNCED;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/drain/EntryDrainPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/drain/EntryDrainPolicy.java
@@ -3,11 +3,12 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Decides how far the planned stop of an entry instance has got.
+ * Decides the phase of a drain of an entry instance.
  *
- * <p>It leaves the address list first. A caller may have asked for the list just before that, or asked an instance that
- * had not heard of it, and may keep the answer for its time to live; until then the instance serves everyone and names
- * the new list in its answers. Then it finishes what it has, for a bounded time.
+ * <p>The instance first removes itself from the address list. A caller may have fetched the list just before, or from
+ * an instance that did not know of the drain yet, and may cache it for its time to live. Until that time has passed the
+ * instance serves all callers and includes the new list in its responses. It then completes its open requests, for a
+ * bounded time.
  *
  * <pre>{@code
  * DrainPhase phase = policy.phase(clock.monotonicMillis() - startedMillis, openRequests);
@@ -23,19 +24,19 @@
     /**
      * Creates a policy.
      *
-     * @param listLagMillis how long other instances may go on naming this one
-     * @param addressTtlMillis how long a caller may keep an address list
-     * @param maxDrainMillis when the instance stops whatever remains, counted from the start
+     * @param listLagMillis how long other instances may still list this instance
+     * @param addressTtlMillis how long a caller may cache an address list
+     * @param maxDrainMillis the time after the start at which the instance stops even if requests are open
      */
     public EntryDrainPolicy(long listLagMillis, long addressTtlMillis, long maxDrainMillis) {
         this.listLagMillis = Checks.notNegative("listLagMillis", listLagMillis);
         this.addressTtlMillis = Checks.notNegative("addressTtlMillis", addressTtlMillis);
         this.maxDrainMillis = maxDrainMillis;
-        long servedMillis = listLagMillis + addressTtlMillis;
-        Checks.that(maxDrainMillis > servedMillis, "maxDrainMillis", maxDrainMillis, "above " + servedMillis);
+        long announcedMillis = listLagMillis + addressTtlMillis;
+        Checks.that(maxDrainMillis > announcedMillis, "maxDrainMillis", maxDrainMillis, "above " + announcedMillis);
     }
 
-    /** Returns the phase {@code elapsedMillis} after the start, with {@code openRequests} still open. */
+    /** Returns the phase at {@code elapsedMillis} after the start, with {@code openRequests} still open. */
     public DrainPhase phase(long elapsedMillis, int openRequests) {
         if (elapsedMillis >= maxDrainMillis) {
             return DrainPhase.STOPPED;
--- a/core/src/main/java/org/jasminehub/core/drain/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/drain/package-info.java
@@ -1,4 +1,4 @@
-/** The planned stop of an entry instance or an agent. */
+/** Drains: planned stops of entry instances and agents that complete open requests first. */
 @NullMarked
 package org.jasminehub.core.drain;
 
--- a/core/src/main/java/org/jasminehub/core/history/AcceptedDocument.java
+++ b/core/src/main/java/org/jasminehub/core/history/AcceptedDocument.java
@@ -3,18 +3,18 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The accepted document of one team.
+ * An accepted document of a team, in the fields of the publish that was accepted.
  *
- * @param team the team's name
- * @param version the offset of the record that was accepted
- * @param baseVersion the version that it replaced, or {@link HistoryState#NO_VERSION}
+ * @param team the name of the team
+ * @param version the version, which is the offset of the accepted record
+ * @param baseVersion the version that this document replaced, or {@link HistoryState#NO_VERSION}
  * @param nonce the nonce of the accepted record
- * @param operator who published it
+ * @param operator the operator who published the document
  * @param documentText the document in YAML
  */
 public record AcceptedDocument(
         String team, long version, long baseVersion, String nonce, String operator, String documentText) {
-    /** Creates a checked document. */
+    /** Validates the components. */
     public AcceptedDocument {
         Checks.notBlank("team", team);
         Checks.notNegative("version", version);
--- a/core/src/main/java/org/jasminehub/core/history/AuditEntry.java
+++ b/core/src/main/java/org/jasminehub/core/history/AuditEntry.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * One accepted publish as auditors see it.
+ * One accepted publish in an audit trail.
  *
- * @param sequence its place among all accepted publishes, from 1
- * @param version the offset of its record
- * @param team the team's name
- * @param baseVersion the version that it replaced, or {@link HistoryState#NO_VERSION}
- * @param nonce the record's nonce
- * @param operator who published
- * @param reason why
- * @param wallMillis when, by the operator's clock
- * @param documentSha256 the hash of the document's text
- * @param previousHash the hash of the entry before it
- * @param hash the hash over all fields above
+ * @param sequence the position among all accepted publishes, from 1
+ * @param version the version, which is the offset of the accepted record
+ * @param team the name of the team
+ * @param baseVersion the version that was replaced, or {@link HistoryState#NO_VERSION}
+ * @param nonce the nonce of the accepted record
+ * @param operator the operator who published
+ * @param reason the reason for the change
+ * @param wallMillis the wall-clock time on the operator's machine
+ * @param documentSha256 the SHA-256 hash of the document text
+ * @param previousHash the hash of the previous entry
+ * @param hash the hash of all fields above
  */
 public record AuditEntry(
         long sequence,
@@ -29,7 +29,7 @@
         String documentSha256,
         String previousHash,
         String hash) {
-    /** Returns the chain's head after this entry. */
+    /** Returns the chain head after this entry. */
     @JsonIgnore
     public ChainHead head() {
         return new ChainHead(sequence, hash);
--- a/core/src/main/java/org/jasminehub/core/history/AuditFault.java
+++ b/core/src/main/java/org/jasminehub/core/history/AuditFault.java
@@ -1,18 +1,18 @@
 package org.jasminehub.core.history;
 
 /**
- * A place where a trail does not match its hash chain.
+ * A mismatch between an audit trail and its hash chain.
  *
- * @param kind what is wrong
- * @param sequence the sequence number of the first entry concerned
- * @param detail what was found and expected
+ * @param kind the kind of mismatch
+ * @param sequence the sequence number of the first affected entry
+ * @param detail a description of what was found and what was expected
  */
 public record AuditFault(Kind kind, long sequence, String detail) {
-    /** What is wrong with an entry. */
+    /** The kind of mismatch. */
     public enum Kind {
         /** An entry is missing. */
         REMOVED,
-        /** An entry's fields do not match its hash, or the hash that its neighbours name. */
+        /** The fields of an entry do not match its own hash or the hash recorded in a neighbouring entry. */
         CHANGED
     }
 }
--- a/core/src/main/java/org/jasminehub/core/history/AuditTrail.java
+++ b/core/src/main/java/org/jasminehub/core/history/AuditTrail.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * An exported stretch of accepted history; immutable.
+ * An exported range of accepted publishes.
  *
- * @param anchor the chain's head before the first entry
- * @param entries the entries in order
- * @param head the chain's head after the last entry
+ * <p>Immutable.
+ *
+ * @param anchor the chain head before the first entry
+ * @param entries the entries in chain order
+ * @param head the chain head after the last entry
  */
 public record AuditTrail(ChainHead anchor, List<AuditEntry> entries, ChainHead head) {
-    /** Creates a trail. */
+    /** Copies the entries. */
     public AuditTrail {
         entries = List.copyOf(entries);
     }
--- a/core/src/main/java/org/jasminehub/core/history/AuditVerifier.java
+++ b/core/src/main/java/org/jasminehub/core/history/AuditVerifier.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * Finds removed and changed entries of an exported trail.
+ * Finds removed and changed entries in an exported audit trail.
  *
- * <p>A trail that was forged as a whole, hashes and all, matches itself; only a head that the auditor kept from another
- * source shows it.
+ * <p>A trail that was forged completely, including its hashes, is consistent in itself. It is detected only by
+ * comparison with a trusted head that the auditor obtained from another source.
  *
  * <pre>{@code
  * List<AuditFault> faults = new AuditVerifier().verify(trail, Optional.of(headFromTheLog));
@@ -17,7 +17,7 @@
  * <p>Immutable.
  */
 public final class AuditVerifier {
-    /** Returns the faults of {@code trail}, none if it matches its chain and {@code trusted}, if there is one. */
+    /** Returns the faults of {@code trail}; empty if it matches its hash chain and, where present, {@code trusted}. */
     public List<AuditFault> verify(AuditTrail trail, Optional<ChainHead> trusted) {
         List<AuditFault> faults = new ArrayList<>();
         ChainHead previous = trail.anchor();
@@ -36,9 +36,9 @@
         if (entry.sequence() > expected) {
             faults.add(removed(expected, "entries " + expected + " to " + (entry.sequence() - 1) + " are missing"));
         } else if (entry.sequence() < expected) {
-            faults.add(changed(entry.sequence(), "stands where entry " + expected + " was expected"));
+            faults.add(changed(entry.sequence(), "found where entry " + expected + " was expected"));
         } else if (!entry.previousHash().equals(previous.hash())) {
-            faults.add(changed(previous.count(), "entry " + expected + " names another hash for the one before it"));
+            faults.add(changed(previous.count(), "entry " + expected + " has a different hash for its predecessor"));
         }
     }
 
@@ -55,7 +55,7 @@
             faults.add(removed(
                     last.count() + 1, "entries " + (last.count() + 1) + " to " + head.count() + " are missing"));
         } else if (!last.equals(head)) {
-            faults.add(changed(last.count(), "the last entry is not the one that the trail's head names"));
+            faults.add(changed(last.count(), "the last entry does not match the head of the trail"));
         }
     }
 
--- a/core/src/main/java/org/jasminehub/core/history/ChainHead.java
+++ b/core/src/main/java/org/jasminehub/core/history/ChainHead.java
@@ -6,29 +6,31 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The head of the hash chain over all accepted publishes; immutable.
+ * The head of the hash chain over all accepted publishes.
+ *
+ * <p>Immutable.
  *
  * <pre>{@code
  * AuditEntry entry = ChainHead.START.extend(offset, publish);
  * ChainHead next = entry.head();
  * }</pre>
  *
- * @param count how many publishes were accepted
- * @param hash the hash of the last of them, in hexadecimal
+ * @param count the number of accepted publishes
+ * @param hash the hash of the last accepted publish, in hexadecimal
  */
 public record ChainHead(long count, String hash) {
     /** The head of an empty history. */
     public static final ChainHead START = new ChainHead(0, "0".repeat(64));
 
-    /** Creates a checked head. */
+    /** Validates the components. */
     public ChainHead {
         Checks.notNegative("count", count);
         Checks.notBlank("hash", hash);
     }
 
-    /** Returns the entry of {@code publish}, accepted at {@code offset}, that follows this head. */
+    /** Returns the audit entry that follows this head for {@code publish}, accepted at {@code offset}. */
     public AuditEntry extend(long offset, PublishRecord publish) {
-        AuditEntry draft = new AuditEntry(
+        AuditEntry unhashed = new AuditEntry(
                 count + 1,
                 offset,
                 publish.team(),
@@ -40,10 +42,10 @@
                 sha256(publish.documentText()),
                 hash,
                 hash);
-        return draft.withHash(hashOf(draft));
+        return unhashed.withHash(hashOf(unhashed));
     }
 
-    /** Returns the hash that {@code entry} should have, from all its other fields. */
+    /** Computes the hash of {@code entry} from all its other fields. */
     static String hashOf(AuditEntry entry) {
         Hasher hasher = Hashing.sha256().newHasher();
         hasher.putLong(entry.sequence()).putLong(entry.version()).putLong(entry.baseVersion());
--- a/core/src/main/java/org/jasminehub/core/history/Currency.java
+++ b/core/src/main/java/org/jasminehub/core/history/Currency.java
@@ -1,17 +1,17 @@
 package org.jasminehub.core.history;
 
-/** What an instance knows about whether its documents are the newest. */
+/** How far an instance can tell that its documents are up to date. */
 public enum Currency {
-    /** It read to the log's end, or a peer that did has nothing newer. */
+    /** The instance recently read to the end of the log, or a peer that did so has nothing newer. */
     CURRENT,
-    /** The log cannot be read, and peers in reach that cannot read it either have nothing newer. */
+    /** The log cannot be read; reachable peers, which cannot read it either, have nothing newer. */
     AGREED_WITH_PEERS,
-    /** It missed records and decides nothing until it found a complete snapshot. */
+    /** The instance missed records and decides no publish until it finds a snapshot that covers them. */
     MISSED_RECORDS,
-    /** It has heard neither from the log nor from peers for too long, or not yet. */
+    /** There is no recent evidence from the log or from peers. */
     UNKNOWN;
 
-    /** Tells whether callers may be sent to an instance that knows this much. */
+    /** Returns whether an instance in this state may serve callers. */
     public boolean isServing() {
         return this == CURRENT || this == AGREED_WITH_PEERS;
     }
--- a/core/src/main/java/org/jasminehub/core/history/CurrencyTracker.java
+++ b/core/src/main/java/org/jasminehub/core/history/CurrencyTracker.java
@@ -3,10 +3,10 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Keeps what an instance has heard about being current, and how long ago.
+ * Tracks how recently an instance had evidence that its documents are up to date.
  *
  * <pre>{@code
- * tracker.caughtUp(clock.monotonicMillis());
+ * tracker.onCaughtUp(clock.monotonicMillis());
  * Currency currency = tracker.currency(replay.isComplete(), clock.monotonicMillis());
  * }</pre>
  *
@@ -19,27 +19,27 @@
     private long caughtUpMillis = NEVER;
     private long agreedMillis = NEVER;
 
-    /** Creates a tracker that forgets what it heard after {@code maxAgeMillis}. */
+    /** Creates a tracker in which evidence expires after {@code maxAgeMillis}. */
     public CurrencyTracker(long maxAgeMillis) {
         this.maxAgeMillis = Checks.positive("maxAgeMillis", maxAgeMillis);
     }
 
-    /** Notes that at {@code monotonicMillis} the log, or a peer that knows its end, had nothing newer. */
-    public void caughtUp(long monotonicMillis) {
+    /** Records that at {@code monotonicMillis} the log, or a peer that had read to its end, had nothing newer. */
+    public void onCaughtUp(long monotonicMillis) {
         caughtUpMillis = Math.max(caughtUpMillis, monotonicMillis);
     }
 
-    /** Notes that at {@code monotonicMillis} a peer that does not know the log's end had nothing newer. */
-    public void agreed(long monotonicMillis) {
+    /** Records that at {@code monotonicMillis} a peer that had not read to the end of the log had nothing newer. */
+    public void onPeerAgreed(long monotonicMillis) {
         agreedMillis = Math.max(agreedMillis, monotonicMillis);
     }
 
-    /** Returns how long before {@code nowMillis} the log's end was known, or a negative value if it never was. */
+    /** Returns the time since the instance was last caught up with the log, or a negative value if it never was. */
     public long evidenceAgeMillis(long nowMillis) {
         return caughtUpMillis == NEVER ? -1 : nowMillis - caughtUpMillis;
     }
 
-    /** Returns what is known at {@code nowMillis}; {@code complete} tells whether the replay missed no record. */
+    /** Returns the currency at {@code nowMillis}; {@code complete} is whether the replay missed no record. */
     public Currency currency(boolean complete, long nowMillis) {
         if (!complete) {
             return Currency.MISSED_RECORDS;
@@ -50,7 +50,7 @@
         return isRecent(agreedMillis, nowMillis) ? Currency.AGREED_WITH_PEERS : Currency.UNKNOWN;
     }
 
-    private boolean isRecent(long heardMillis, long nowMillis) {
-        return heardMillis != NEVER && nowMillis - heardMillis <= maxAgeMillis;
+    private boolean isRecent(long evidenceMillis, long nowMillis) {
+        return evidenceMillis != NEVER && nowMillis - evidenceMillis <= maxAgeMillis;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/history/DecodedRecord.java
+++ b/core/src/main/java/org/jasminehub/core/history/DecodedRecord.java
@@ -1,13 +1,13 @@
 package org.jasminehub.core.history;
 
-/** What a record's bytes turned out to be. */
+/** The result of decoding a record of the log. */
 public sealed interface DecodedRecord {
-    /** A record that concerns documents. */
+    /** A record of the document history. */
     record Readable(HistoryRecord record) implements DecodedRecord {}
 
-    /** A well-formed record of another part of the system. */
-    record Foreign(String type) implements DecodedRecord {}
+    /** A well-formed record that belongs to another part of the system, such as a lease. */
+    record OtherType(String type) implements DecodedRecord {}
 
-    /** Bytes that no part of the system wrote, or a record of documents with missing or wrong fields. */
+    /** Bytes that are not a valid record, or a record of the document history with missing or invalid fields. */
     record Unreadable(String cause) implements DecodedRecord {}
 }
--- a/core/src/main/java/org/jasminehub/core/history/HistoryEvent.java
+++ b/core/src/main/java/org/jasminehub/core/history/HistoryEvent.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonUnwrapped;
 import org.jasminehub.core.event.Event;
 
-/** What became of a record, or of the ability to decide on records. */
+/** An event that a {@link HistoryReplay} reports: a decision on a record, a gap in the log, or a snapshot. */
 public sealed interface HistoryEvent extends Event {
     /** A publish was accepted. */
     record DocumentAccepted(@JsonUnwrapped AuditEntry entry) implements HistoryEvent {
@@ -13,7 +13,7 @@
         }
     }
 
-    /** A publish lost against {@code winner}, who published {@code versionInForce}. */
+    /** A publish was not accepted because its base is not {@code versionInForce}, published by {@code winner}. */
     record PublishConflicted(
             long offset,
             String team,
@@ -29,7 +29,7 @@
         }
     }
 
-    /** A publish's document does not pass the schema. */
+    /** A publish was rejected because its document does not match the schema. */
     record PublishRejected(long offset, String team, String nonce, String operator, String cause)
             implements HistoryEvent {
         @Override
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A record's bytes cannot be read. */
+    /** A record could not be decoded. */
     record RecordUnreadable(long offset, String cause) implements HistoryEvent {
         @Override
         public DocumentEventKind kind() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Records from {@code completeTo} up to {@code firstOffset} were dropped before they were read. */
+    /** The log dropped the records from {@code completeTo} up to but not including {@code firstOffset} unread. */
     record HistoryGapFound(long completeTo, long firstOffset) implements HistoryEvent {
         @Override
         public DocumentEventKind kind() {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** A snapshot from {@code source} was taken over. */
+    /** A snapshot from {@code source} was installed. */
     record StateInstalled(long completeTo, int documents, String source) implements HistoryEvent {
         @Override
         public DocumentEventKind kind() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A snapshot from {@code source} cannot be used. */
+    /** A snapshot from {@code source} was refused. */
     record SnapshotRefused(long completeTo, String source, String cause) implements HistoryEvent {
         @Override
         public DocumentEventKind kind() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The last part of a snapshot was read at {@code offset}. */
+    /** All parts of a snapshot were read; the last one was at {@code offset}. */
     record SnapshotSeen(long completeTo, long offset, String writer, long wallMillis) implements HistoryEvent {
         @Override
         public DocumentEventKind kind() {
--- a/core/src/main/java/org/jasminehub/core/history/HistoryRecord.java
+++ b/core/src/main/java/org/jasminehub/core/history/HistoryRecord.java
@@ -1,4 +1,4 @@
 package org.jasminehub.core.history;
 
-/** A record of the log that concerns documents. */
+/** A record of the document history in the log. */
 public sealed interface HistoryRecord permits PublishRecord, SnapshotRecord {}
--- a/core/src/main/java/org/jasminehub/core/history/HistoryRecordCodec.java
+++ b/core/src/main/java/org/jasminehub/core/history/HistoryRecordCodec.java
@@ -10,20 +10,20 @@
 import org.jasminehub.core.error.InvalidArgumentException;
 
 /**
- * Writes and reads records as JSON objects whose {@code type} names their kind.
+ * Encodes and decodes records as JSON objects with a {@code type} field.
  *
  * <pre>{@code
  * byte[] payload = codec.encode(publish);
  * DecodedRecord decoded = codec.decode(payload);
  * }</pre>
  *
- * <p>Unknown fields are skipped, so that older programs read newer records. Safe for use by several threads.
+ * <p>Unknown fields are ignored, so that older versions can read newer records. Thread-safe.
  */
 public final class HistoryRecordCodec {
-    /** The {@code type} of a publish. */
+    /** The {@code type} of a {@link PublishRecord}. */
     public static final String PUBLISH_TYPE = "publish";
 
-    /** The {@code type} of a part of a snapshot. */
+    /** The {@code type} of a {@link SnapshotRecord}. */
     public static final String SNAPSHOT_TYPE = "snapshot";
 
     private static final String TYPE_FIELD = "type";
@@ -35,7 +35,7 @@
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .build();
 
-    /** Returns the bytes of {@code record}. */
+    /** Returns {@code record} as UTF-8 encoded JSON. */
     public byte[] encode(HistoryRecord record) {
         ObjectNode node = mapper.createObjectNode();
         node.put(TYPE_FIELD, record instanceof PublishRecord ? PUBLISH_TYPE : SNAPSHOT_TYPE);
@@ -44,7 +44,7 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns what {@code payload} holds; never fails. */
+    /** Decodes {@code payload}; returns {@link DecodedRecord.Unreadable} if it is invalid. */
     public DecodedRecord decode(byte[] payload) {
         try {
             return decodeTree(mapper.readTree(new String(payload, StandardCharsets.UTF_8)));
@@ -56,18 +56,18 @@
     private DecodedRecord decodeTree(JsonNode node) throws JsonProcessingException {
         String type = node.path(TYPE_FIELD).asText();
         if (type.isEmpty()) {
-            return new DecodedRecord.Unreadable("no type");
+            return new DecodedRecord.Unreadable("the record has no type field");
         }
         return switch (type) {
             case PUBLISH_TYPE -> new DecodedRecord.Readable(mapper.treeToValue(node, PublishRecord.class));
             case SNAPSHOT_TYPE -> new DecodedRecord.Readable(mapper.treeToValue(node, SnapshotRecord.class));
-            default -> new DecodedRecord.Foreign(type);
+            default -> new DecodedRecord.OtherType(type);
         };
     }
 
     private static String causeOf(Exception failure) {
         if (failure instanceof JsonProcessingException json) {
-            return json.getOriginalMessage().lines().findFirst().orElse("no JSON");
+            return json.getOriginalMessage().lines().findFirst().orElse("not valid JSON");
         }
         return String.valueOf(failure.getMessage());
     }
--- a/core/src/main/java/org/jasminehub/core/history/HistoryReplay.java
+++ b/core/src/main/java/org/jasminehub/core/history/HistoryReplay.java
@@ -11,11 +11,14 @@
 import org.jasminehub.core.identity.TeamId;
 
 /**
- * Decides on publishes by reading the log in order: one is accepted if and only if its base is the version in force.
+ * Replays the log in order and decides which publishes are accepted.
  *
- * <p>A replay decides only from a state that is complete: the empty state at offset 0, a snapshot of the log that is
- * complete up to the first offset still readable, or a peer's state. After the log dropped records unread it keeps the
- * documents in force, decides nothing, and reads on for such a snapshot; then it goes back to the snapshot's offset.
+ * <p>A publish is accepted if and only if its document is valid and its base is the version in force. Publishes are
+ * decided only from a complete state: the empty state at offset 0, a snapshot in the log that covers every record
+ * below the first readable offset, or the state of a peer.
+ *
+ * <p>If the log dropped records before they were read, the replay keeps the documents in force and decides nothing. It
+ * reads on until it finds a snapshot that covers the gap, installs it, and continues at the snapshot's offset.
  *
  * <pre>{@code
  * HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
@@ -24,80 +27,82 @@
  * HistoryState state = replay.state();
  * }</pre>
  *
- * <p>Not thread-safe; the states that it gives are immutable.
+ * <p>Not thread-safe; the states that it returns are immutable.
  */
 public final class HistoryReplay {
     private final HistoryRecordCodec codec = new HistoryRecordCodec();
     private final SnapshotAssembler assembler = new SnapshotAssembler();
-    private final HistoryStateFactory states;
+    private final HistoryStateFactory stateFactory;
 
     private HistoryState state = HistoryState.EMPTY;
     private boolean complete = true;
-    private long scanStart;
-    private long scanNext;
+    /** First readable offset after a gap; a state that reaches it closes the gap. */
+    private long firstReadableOffset;
+    /** Offset of the next record to search for a snapshot while the state is incomplete. */
+    private long scanOffset;
 
     /** Creates a replay at offset 0 that parses documents with {@code schema}. */
     public HistoryReplay(DocumentYamlAdapter schema) {
-        this.states = new HistoryStateFactory(schema);
+        this.stateFactory = new HistoryStateFactory(schema);
     }
 
-    /** Returns the documents in force as far as they are known. */
+    /** Returns the newest known state. */
     public HistoryState state() {
         return state;
     }
 
-    /** Tells whether no record below {@link #nextOffset()} was missed, so that publishes can be decided. */
+    /** Returns whether no record below {@link #nextOffset()} was missed, so that publishes can be decided. */
     public boolean isComplete() {
         return complete;
     }
 
     /** Returns the offset from which to read next. */
     public long nextOffset() {
-        return complete ? state.completeTo() : scanNext;
+        return complete ? state.completeTo() : scanOffset;
     }
 
-    /** Takes records read from the log, whose first readable offset was {@code firstOffset}. */
+    /** Applies records read from the log, whose first readable offset was {@code firstOffset}. */
     public List<HistoryEvent> applyLogPage(long firstOffset, List<OffsetRecord> records) {
         List<HistoryEvent> events = new ArrayList<>();
-        noteFirstOffset(firstOffset, events);
+        checkForGap(firstOffset, events);
         for (OffsetRecord record : records) {
             if (complete) {
                 applyNext(record, events);
             } else {
-                scanNext(record, events);
+                scanForSnapshot(record, events);
             }
         }
         return events;
     }
 
     /**
-     * Takes records that a peer has read from the log; ones already known are skipped. They may fill the place of
-     * records that the log dropped.
+     * Applies records that a peer has read from the log; records that do not directly follow the state are skipped.
+     * Records from a peer can close a gap left by records that the log dropped.
      */
     public List<HistoryEvent> applyPeerRecords(List<OffsetRecord> records) {
         List<HistoryEvent> events = new ArrayList<>();
         records.forEach(record -> applyNext(record, events));
-        complete = complete || state.completeTo() >= scanStart;
+        complete = complete || state.completeTo() >= firstReadableOffset;
         return events;
     }
 
-    /** Takes over {@code offered}, complete by the word of {@code source}, if it reaches further than this state. */
+    /** Installs {@code offered}, which {@code source} reported as complete, if it is newer than the current state. */
     public List<HistoryEvent> install(HistoryState offered, String source) {
         if (offered.completeTo() <= state.completeTo()) {
             return List.of();
         }
         Optional<TeamId> lowered = state.firstLowered(offered);
         if (lowered.isPresent()) {
-            String cause = "it lowers the version of team " + lowered.get();
+            String cause = "the snapshot would lower the version of team " + lowered.get();
             return List.of(new HistoryEvent.SnapshotRefused(offered.completeTo(), source, cause));
         }
         state = offered;
-        complete = complete || offered.completeTo() >= scanStart;
+        complete = complete || offered.completeTo() >= firstReadableOffset;
         return List.of(new HistoryEvent.StateInstalled(
                 offered.completeTo(), offered.documents().size(), source));
     }
 
-    private void noteFirstOffset(long firstOffset, List<HistoryEvent> events) {
+    private void checkForGap(long firstOffset, List<HistoryEvent> events) {
         if (firstOffset <= nextOffset()) {
             return;
         }
@@ -105,11 +110,11 @@
             events.add(new HistoryEvent.HistoryGapFound(state.completeTo(), firstOffset));
         }
         complete = false;
-        scanStart = firstOffset;
-        scanNext = firstOffset;
+        firstReadableOffset = firstOffset;
+        scanOffset = firstOffset;
     }
 
-    /** Decides on a record that follows the state. */
+    /** Decides a record and advances the state, if the record directly follows the state. */
     private void applyNext(OffsetRecord record, List<HistoryEvent> events) {
         if (record.offset() != state.completeTo()) {
             return;
@@ -117,20 +122,20 @@
         DecodedRecord decoded = codec.decode(record.payload());
         decide(record.offset(), decoded, events);
         state = state.withCompleteTo(record.offset() + 1);
-        wholeSnapshot(decoded).ifPresent(snapshot -> compare(record.offset(), snapshot, events));
+        completeSnapshot(decoded).ifPresent(snapshot -> checkSnapshot(record.offset(), snapshot, events));
     }
 
-    /** Reads a record that does not follow the state, for the snapshot that it may complete. */
-    private void scanNext(OffsetRecord record, List<HistoryEvent> events) {
-        if (record.offset() != scanNext) {
+    /** Reads a record after a gap and installs the snapshot that it completes, if any. */
+    private void scanForSnapshot(OffsetRecord record, List<HistoryEvent> events) {
+        if (record.offset() != scanOffset) {
             return;
         }
-        scanNext = record.offset() + 1;
-        wholeSnapshot(codec.decode(record.payload()))
+        scanOffset = record.offset() + 1;
+        completeSnapshot(codec.decode(record.payload()))
                 .ifPresent(snapshot -> installFromLog(record.offset(), snapshot, events));
     }
 
-    private Optional<SnapshotRecord> wholeSnapshot(DecodedRecord decoded) {
+    private Optional<SnapshotRecord> completeSnapshot(DecodedRecord decoded) {
         if (decoded instanceof DecodedRecord.Readable readable && readable.record() instanceof SnapshotRecord part) {
             return assembler.add(part);
         }
@@ -163,7 +168,7 @@
                     winner);
         }
         try {
-            return accept(offset, publish, states.parse(publish.team(), publish.documentText()));
+            return accept(offset, publish, stateFactory.parse(publish.team(), publish.documentText()));
         } catch (DocumentException e) {
             return new HistoryEvent.PublishRejected(
                     offset, publish.team(), publish.nonce(), publish.operator(), String.valueOf(e.getMessage()));
@@ -185,41 +190,44 @@
         return new HistoryEvent.DocumentAccepted(entry);
     }
 
-    private void compare(long offset, SnapshotRecord snapshot, List<HistoryEvent> events) {
-        events.add(seen(offset, snapshot));
-        firstUnknown(snapshot.documents())
-                .ifPresent(unknown -> events.add(
-                        refuse(snapshot, "it holds version " + unknown.version() + " of team " + unknown.team())));
+    /** Checks a snapshot against the replayed state, which must hold every version that the snapshot contains. */
+    private void checkSnapshot(long offset, SnapshotRecord snapshot, List<HistoryEvent> events) {
+        events.add(snapshotSeen(offset, snapshot));
+        firstNewerDocument(snapshot.documents())
+                .ifPresent(newer -> events.add(snapshotRefused(
+                        snapshot,
+                        "the snapshot contains the unaccepted version " + newer.version() + " of team "
+                                + newer.team())));
     }
 
     private void installFromLog(long offset, SnapshotRecord snapshot, List<HistoryEvent> events) {
-        events.add(seen(offset, snapshot));
+        events.add(snapshotSeen(offset, snapshot));
         if (snapshot.completeTo() > offset) {
-            events.add(refuse(snapshot, "it claims records that came after it"));
+            events.add(snapshotRefused(snapshot, "the snapshot claims to include records that follow it in the log"));
             return;
         }
-        if (snapshot.completeTo() < scanStart) {
+        if (snapshot.completeTo() < firstReadableOffset) {
             return;
         }
         try {
-            HistoryState offered = states.create(snapshot.completeTo(), snapshot.head(), snapshot.documents());
+            HistoryState offered = stateFactory.create(snapshot.completeTo(), snapshot.head(), snapshot.documents());
             events.addAll(install(offered, snapshot.writer()));
         } catch (DocumentException e) {
-            events.add(refuse(snapshot, String.valueOf(e.getMessage())));
+            events.add(snapshotRefused(snapshot, String.valueOf(e.getMessage())));
         }
     }
 
-    private Optional<AcceptedDocument> firstUnknown(List<AcceptedDocument> documents) {
+    private Optional<AcceptedDocument> firstNewerDocument(List<AcceptedDocument> documents) {
         return documents.stream()
                 .filter(document -> document.version() > state.version(new TeamId(document.team())))
                 .findFirst();
     }
 
-    private static HistoryEvent seen(long offset, SnapshotRecord snapshot) {
+    private static HistoryEvent snapshotSeen(long offset, SnapshotRecord snapshot) {
         return new HistoryEvent.SnapshotSeen(snapshot.completeTo(), offset, snapshot.writer(), snapshot.wallMillis());
     }
 
-    private static HistoryEvent refuse(SnapshotRecord part, String cause) {
+    private static HistoryEvent snapshotRefused(SnapshotRecord part, String cause) {
         return new HistoryEvent.SnapshotRefused(part.completeTo(), part.writer(), cause);
     }
 }
--- a/core/src/main/java/org/jasminehub/core/history/HistoryStateFactory.java
+++ b/core/src/main/java/org/jasminehub/core/history/HistoryStateFactory.java
@@ -9,22 +9,23 @@
 import org.jasminehub.core.identity.TeamId;
 
 /**
- * Builds a state from the documents of a snapshot, and checks each against the schema.
+ * Builds a state from the documents of a snapshot and validates each document against the schema.
  *
  * <p>Immutable.
  */
 public final class HistoryStateFactory {
     private final DocumentYamlAdapter schema;
 
-    /** Creates a factory that parses with {@code schema}. */
+    /** Creates a factory that parses documents with {@code schema}. */
     public HistoryStateFactory(DocumentYamlAdapter schema) {
         this.schema = schema;
     }
 
     /**
-     * Returns the state that {@code documents} make up.
+     * Returns the state that consists of {@code documents}.
      *
-     * @throws DocumentException if a document does not pass the schema, is newer than the state, or stands twice
+     * @throws DocumentException if a document does not match the schema or is newer than the state, or if a team has
+     *     two documents
      */
     public HistoryState create(long completeTo, ChainHead head, List<AcceptedDocument> documents) {
         TreeMap<TeamId, VersionedDocument> byTeam = new TreeMap<>();
@@ -34,13 +35,13 @@
             }
             VersionedDocument parsed = new VersionedDocument(source, parse(source.team(), source.documentText()));
             if (byTeam.put(new TeamId(source.team()), parsed) != null) {
-                throw new DocumentException(source.team(), "two documents", "one document a team");
+                throw new DocumentException(source.team(), "two documents", "one document per team");
             }
         }
         return new HistoryState(completeTo, head, ImmutableSortedMap.copyOfSorted(byTeam));
     }
 
-    /** Returns the document of {@code team} that {@code text} describes. */
+    /** Parses {@code text} as a document of {@code team}. */
     TeamDocument parse(String team, String text) {
         TeamDocument document = schema.read(text);
         if (!document.team().equals(team)) {
--- a/core/src/main/java/org/jasminehub/core/history/InstanceRanking.java
+++ b/core/src/main/java/org/jasminehub/core/history/InstanceRanking.java
@@ -9,7 +9,8 @@
 import org.jasminehub.core.membership.MemberRole;
 
 /**
- * Orders entry instances by a hash of their names: the same two stand in the same order in every view of the fleet.
+ * Orders entry instances by a hash of their ids, so that any two instances have the same order in every view of the
+ * members.
  */
 final class InstanceRanking {
     private static final Comparator<InstanceId> ORDER =
@@ -17,7 +18,7 @@
 
     private InstanceRanking() {}
 
-    /** Returns the live entry instances among {@code members}, the first in rank first. */
+    /** Returns the live entry instances among {@code members}, in hash order. */
     static List<Member> rankLiveEntries(List<Member> members) {
         return members.stream()
                 .filter(Member::isLive)
@@ -26,7 +27,7 @@
                 .toList();
     }
 
-    /** Returns how many of {@code ranked} go before {@code instance}. */
+    /** Returns the number of instances in {@code ranked} that precede {@code instance}. */
     static int rankOf(InstanceId instance, List<Member> ranked) {
         return (int) ranked.stream()
                 .filter(member -> ORDER.compare(member.id(), instance) < 0)
--- a/core/src/main/java/org/jasminehub/core/history/OffsetRecord.java
+++ b/core/src/main/java/org/jasminehub/core/history/OffsetRecord.java
@@ -1,10 +1,10 @@
 package org.jasminehub.core.history;
 
 /**
- * A record of the log as it was read.
+ * A record read from the log.
  *
- * @param offset its place
- * @param payload its bytes, not copied
+ * @param offset the position in the log
+ * @param payload the content; the array is not copied
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record OffsetRecord(long offset, byte[] payload) {}
--- a/core/src/main/java/org/jasminehub/core/history/PublishOutcome.java
+++ b/core/src/main/java/org/jasminehub/core/history/PublishOutcome.java
@@ -1,19 +1,19 @@
 package org.jasminehub.core.history;
 
-/** What is known of a publish. */
+/** The outcome of a publish, as far as it is known. */
 public sealed interface PublishOutcome {
-    /** It was accepted; a later publish may have replaced it since. */
+    /** The publish was accepted; a later publish may have replaced it. */
     record Accepted(long version) implements PublishOutcome {}
 
-    /** It was not accepted and never will be, since {@code winner} published {@code versionInForce}. */
+    /** The publish will never be accepted: its base is not {@code versionInForce}, published by {@code winner}. */
     record Conflicted(long versionInForce, String winner) implements PublishOutcome {}
 
-    /** Its document does not pass the schema; it was not accepted and never will be. */
+    /** The publish will never be accepted, because its document does not match the schema. */
     record Rejected(String cause) implements PublishOutcome {}
 
-    /** Its record has not been read yet, up to {@code nextOffset}; it may still take effect. */
+    /** The record was not found below {@code nextOffset}; the publish may still be accepted. */
     record NotYetKnown(long nextOffset) implements PublishOutcome {}
 
-    /** The log dropped records in which it may have stood; its effect can no longer be told. */
+    /** The log dropped records that may have included the publish, so its outcome cannot be determined any more. */
     record Untraceable(long versionInForce) implements PublishOutcome {}
 }
--- a/core/src/main/java/org/jasminehub/core/history/PublishSettlement.java
+++ b/core/src/main/java/org/jasminehub/core/history/PublishOutcomeTracker.java
@@ -5,43 +5,44 @@
 import org.jasminehub.core.identity.TeamId;
 
 /**
- * Finds out what became of one publish by reading on for its nonce, whatever happened to the append's answer.
+ * Determines the outcome of one publish by watching the log for its nonce, even if the response to the append was lost.
  *
- * <p>The first decision on the nonce counts: a record that was stored twice conflicts with itself the second time.
- * Without any, the publish is settled as soon as its base is no longer in force, since it then can't be accepted.
+ * <p>Only the first decision on the nonce counts, because the second copy of a record that was stored twice conflicts
+ * with the first. Without a decision the outcome is known as soon as the base is no longer the version in force, since
+ * the publish can then no longer be accepted.
  *
  * <pre>{@code
- * PublishSettlement settlement = new PublishSettlement(publish);
- * settlement.observe(replay.applyLogPage(...));
- * PublishOutcome outcome = settlement.outcome(replay);
+ * PublishOutcomeTracker tracker = new PublishOutcomeTracker(publish);
+ * tracker.observe(replay.applyLogPage(...));
+ * PublishOutcome outcome = tracker.outcome(replay);
  * }</pre>
  *
  * <p>Not thread-safe.
  */
-public final class PublishSettlement {
+public final class PublishOutcomeTracker {
     private final PublishRecord publish;
-    private Optional<PublishOutcome> decided = Optional.empty();
+    private Optional<PublishOutcome> decision = Optional.empty();
     private boolean missedRecords;
 
-    /** Creates a settlement of {@code publish}, to be shown all that is read from before it was appended. */
-    public PublishSettlement(PublishRecord publish) {
+    /** Creates a tracker for {@code publish}; it must observe all events from before the append on. */
+    public PublishOutcomeTracker(PublishRecord publish) {
         this.publish = publish;
     }
 
-    /** Takes what a replay did with the next records. */
+    /** Observes the events of the next records that a replay applied. */
     public void observe(List<HistoryEvent> events) {
         for (HistoryEvent event : events) {
             missedRecords |= event instanceof HistoryEvent.StateInstalled;
-            if (decided.isEmpty()) {
-                decided = decisionIn(event);
+            if (decision.isEmpty()) {
+                decision = decisionOf(event);
             }
         }
     }
 
-    /** Returns what is known after the records that {@code replay} has read. */
+    /** Returns the outcome as far as the records that {@code replay} has applied determine it. */
     public PublishOutcome outcome(HistoryReplay replay) {
-        if (decided.isPresent()) {
-            return decided.get();
+        if (decision.isPresent()) {
+            return decision.get();
         }
         if (!replay.isComplete()) {
             return new PublishOutcome.NotYetKnown(replay.nextOffset());
@@ -62,14 +63,14 @@
         if (source.nonce().equals(publish.nonce())) {
             return new PublishOutcome.Accepted(versionInForce);
         }
-        boolean baseWasTaken = source.baseVersion() == publish.baseVersion();
-        if (missedRecords && !baseWasTaken) {
+        boolean replacedSameBase = source.baseVersion() == publish.baseVersion();
+        if (missedRecords && !replacedSameBase) {
             return new PublishOutcome.Untraceable(versionInForce);
         }
         return new PublishOutcome.Conflicted(versionInForce, source.operator());
     }
 
-    private Optional<PublishOutcome> decisionIn(HistoryEvent event) {
+    private Optional<PublishOutcome> decisionOf(HistoryEvent event) {
         if (event instanceof HistoryEvent.DocumentAccepted accepted
                 && accepted.entry().nonce().equals(publish.nonce())) {
             return Optional.of(new PublishOutcome.Accepted(accepted.entry().version()));
--- a/core/src/main/java/org/jasminehub/core/history/PublishRecord.java
+++ b/core/src/main/java/org/jasminehub/core/history/PublishRecord.java
@@ -3,14 +3,14 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Asks for a new version of a team's document.
+ * A request to publish a new version of a team's document.
  *
- * @param team the team's name
- * @param baseVersion the version that it was made from, or {@link HistoryState#NO_VERSION} for a first document
- * @param nonce a value that no other publish has, by which its writer finds it again
- * @param operator who publishes
- * @param reason why
- * @param wallMillis when, by the operator's clock; a label only
+ * @param team the name of the team
+ * @param baseVersion the version that the document is based on, or {@link HistoryState#NO_VERSION} for the first one
+ * @param nonce a unique value by which the publisher finds the record in the log
+ * @param operator the operator who publishes
+ * @param reason the reason for the change
+ * @param wallMillis the wall-clock time on the operator's machine; informational only
  * @param documentText the document in YAML
  */
 public record PublishRecord(
@@ -22,7 +22,7 @@
         long wallMillis,
         String documentText)
         implements HistoryRecord {
-    /** Creates a checked record. */
+    /** Validates the components. */
     public PublishRecord {
         Checks.notBlank("team", team);
         Checks.that(
--- a/core/src/main/java/org/jasminehub/core/history/RecordBuffer.java
+++ b/core/src/main/java/org/jasminehub/core/history/RecordBuffer.java
@@ -7,7 +7,7 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Keeps the newest consecutive records, up to a number of bytes, to answer peers.
+ * Holds the newest consecutive records, up to a number of bytes, to serve peers that request records.
  *
  * <p>Not thread-safe.
  */
@@ -17,12 +17,12 @@
     private long sizeBytes;
     private long nextOffset;
 
-    /** Creates a buffer of at most {@code maxBytes}. */
+    /** Creates a buffer for at most {@code maxBytes} of payload. */
     public RecordBuffer(long maxBytes) {
         this.maxBytes = Checks.positive("maxBytes", maxBytes);
     }
 
-    /** Takes a record; one already held is skipped, and one after a hole empties the buffer first. */
+    /** Adds a record; a record already held is ignored, and a record after a gap clears the buffer first. */
     public void add(OffsetRecord record) {
         if (!records.isEmpty() && record.offset() < nextOffset) {
             return;
@@ -38,27 +38,30 @@
         }
     }
 
-    /** Tells whether it holds every record from {@code fromOffset} up to but not including {@code toOffset}. */
+    /** Returns whether all records from {@code fromOffset} up to but not including {@code toOffset} are held. */
     public boolean holds(long fromOffset, long toOffset) {
         return !records.isEmpty() && records.getFirst().offset() <= fromOffset && nextOffset == toOffset;
     }
 
-    /** Returns at most {@code maxRecords} consecutive records from {@code fromOffset}, of at most {@code maxBytes} but one. */
-    public List<OffsetRecord> read(long fromOffset, int maxRecords, long maxAnswerBytes) {
-        List<OffsetRecord> answer = new ArrayList<>();
-        long answerBytes = 0;
+    /**
+     * Returns at most {@code maxRecords} consecutive records from {@code fromOffset}. Their payloads do not exceed
+     * {@code maxReplyBytes} in total, except that the first record is always included.
+     */
+    public List<OffsetRecord> read(long fromOffset, int maxRecords, long maxReplyBytes) {
+        List<OffsetRecord> reply = new ArrayList<>();
+        long replyBytes = 0;
         for (OffsetRecord record : records) {
             if (record.offset() < fromOffset) {
                 continue;
             }
-            answerBytes += record.payload().length;
-            boolean full = answer.size() >= maxRecords || (answerBytes > maxAnswerBytes && !answer.isEmpty());
+            replyBytes += record.payload().length;
+            boolean full = reply.size() >= maxRecords || (replyBytes > maxReplyBytes && !reply.isEmpty());
             if (full) {
                 break;
             }
-            answer.add(record);
+            reply.add(record);
         }
-        return answer;
+        return reply;
     }
 
     private void clear() {
--- a/core/src/main/java/org/jasminehub/core/history/RecordSource.java
+++ b/core/src/main/java/org/jasminehub/core/history/RecordSource.java
@@ -2,11 +2,11 @@
 
 import org.jasminehub.core.membership.Member;
 
-/** Where an instance reads new records. */
+/** The source from which an instance reads new records. */
 public sealed interface RecordSource {
-    /** It reads the platform's log. */
+    /** The log of the platform. */
     record Log() implements RecordSource {}
 
-    /** It asks another instance. */
+    /** Another entry instance. */
     record Peer(Member member) implements RecordSource {}
 }
--- a/core/src/main/java/org/jasminehub/core/history/SpreadPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/history/RecordSourcePolicy.java
@@ -10,28 +10,30 @@
 import org.jasminehub.core.membership.Member;
 
 /**
- * Decides whom each instance asks for new records: in each failure domain the first few in rank read the log, and every
- * other asks one that goes before it, so that no instance answers more than {@code fanOut} others.
+ * Decides where each entry instance reads new records, so that only a few instances load the log.
  *
- * <p>An instance's source always goes before it in an order that no view changes, so views that differ make no circle.
+ * <p>In each failure domain the first {@code readersPerDomain} instances in hash order read the log. Every other
+ * instance requests records from an instance that precedes it, so that no instance serves more than {@code fanOut}
+ * others. The order does not depend on an instance's view of the members, so instances with different views never form
+ * a cycle.
  *
  * <pre>{@code
- * RecordSource source = new SpreadPolicy(2, 2).source(self, domain, liveMembersThatAnswer);
+ * RecordSource source = new RecordSourcePolicy(2, 2).source(self, domain, reachableMembers);
  * }</pre>
  *
  * <p>Immutable.
  */
-public final class SpreadPolicy {
+public final class RecordSourcePolicy {
     private final int readersPerDomain;
     private final int fanOut;
 
-    /** Creates a policy with {@code readersPerDomain} readers of the log and at most {@code fanOut} askers each. */
-    public SpreadPolicy(int readersPerDomain, int fanOut) {
+    /** Creates a policy with {@code readersPerDomain} log readers and at most {@code fanOut} peers per instance. */
+    public RecordSourcePolicy(int readersPerDomain, int fanOut) {
         this.readersPerDomain = (int) Checks.positive("readersPerDomain", readersPerDomain);
         this.fanOut = (int) Checks.positive("fanOut", fanOut);
     }
 
-    /** Returns where {@code self} reads, given the members that it can reach at present. */
+    /** Returns where {@code self} reads new records, given the members that it can currently reach. */
     public RecordSource source(InstanceId self, FailureDomain domain, List<Member> reachable) {
         List<Member> ranked = rankedIn(domain, reachable);
         int rank = InstanceRanking.rankOf(self, ranked);
@@ -41,7 +43,7 @@
         return new RecordSource.Peer(ranked.get((rank - readersPerDomain) / fanOut));
     }
 
-    /** Returns how many hops a record takes from the log's readers to the last of {@code instances} in a domain. */
+    /** Returns the hops that a record needs from a log reader to the last of {@code instances} in a failure domain. */
     public int hops(int instances) {
         int hops = 0;
         int last = instances - 1;
@@ -53,23 +55,24 @@
     }
 
     /**
-     * Returns at most {@code count} peers for {@code self} to ask when its own source does not answer or it has just
-     * started: the first in rank of its own failure domain, then of each other.
+     * Returns at most {@code count} peers that {@code self} can ask if its own source does not reply or {@code self}
+     * has just started. The first instance of its own failure domain comes first, then the first of each other domain,
+     * then the remaining instances.
      */
-    public List<Member> alternates(InstanceId self, FailureDomain domain, List<Member> reachable, int count) {
+    public List<Member> fallbackPeers(InstanceId self, FailureDomain domain, List<Member> reachable, int count) {
         List<Member> others = InstanceRanking.rankLiveEntries(reachable).stream()
                 .filter(member -> !member.id().equals(self))
                 .toList();
-        List<Member> chosen = new ArrayList<>();
+        List<Member> peers = new ArrayList<>();
         Set<FailureDomain> domains = new HashSet<>();
         others.stream()
                 .filter(member -> member.failureDomain().equals(domain))
                 .limit(1)
-                .forEach(chosen::add);
+                .forEach(peers::add);
         domains.add(domain);
-        others.stream().filter(member -> domains.add(member.failureDomain())).forEach(chosen::add);
-        others.stream().filter(member -> !chosen.contains(member)).forEach(chosen::add);
-        return List.copyOf(chosen.subList(0, Math.min(count, chosen.size())));
+        others.stream().filter(member -> domains.add(member.failureDomain())).forEach(peers::add);
+        others.stream().filter(member -> !peers.contains(member)).forEach(peers::add);
+        return List.copyOf(peers.subList(0, Math.min(count, peers.size())));
     }
 
     private static List<Member> rankedIn(FailureDomain domain, List<Member> members) {
--- a/core/src/main/java/org/jasminehub/core/history/RepairPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/history/RepairPolicy.java
@@ -4,7 +4,7 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Decides what a peer that asks for records from an offset gets.
+ * Decides how to reply to a peer that requests records from an offset.
  *
  * <p>Immutable.
  */
@@ -12,20 +12,20 @@
     private final int maxRecords;
     private final long maxBytes;
 
-    /** Creates a policy that puts at most {@code maxRecords} and about {@code maxBytes} into one answer. */
+    /** Creates a policy with at most {@code maxRecords} and about {@code maxBytes} of payload in a reply. */
     public RepairPolicy(int maxRecords, long maxBytes) {
         this.maxRecords = (int) Checks.positive("maxRecords", maxRecords);
         this.maxBytes = Checks.positive("maxBytes", maxBytes);
     }
 
-    /** Returns what a peer gets that has every record below {@code fromOffset} and takes {@code wantedRecords}. */
-    public RepairAnswer answer(long fromOffset, int wantedRecords, HistoryState state, RecordBuffer buffer) {
+    /** Returns the reply to a peer that requests {@code requestedRecords} records from {@code fromOffset}. */
+    public RepairReply answer(long fromOffset, int requestedRecords, HistoryState state, RecordBuffer buffer) {
         if (fromOffset >= state.completeTo()) {
-            return new RepairAnswer.Records(List.of());
+            return new RepairReply.Records(List.of());
         }
         if (!buffer.holds(fromOffset, state.completeTo())) {
-            return new RepairAnswer.State(state);
+            return new RepairReply.State(state);
         }
-        return new RepairAnswer.Records(buffer.read(fromOffset, Math.min(wantedRecords, maxRecords), maxBytes));
+        return new RepairReply.Records(buffer.read(fromOffset, Math.min(requestedRecords, maxRecords), maxBytes));
     }
 }
--- a/core/src/main/java/org/jasminehub/core/history/SnapshotAssembler.java
+++ b/core/src/main/java/org/jasminehub/core/history/SnapshotAssembler.java
@@ -7,19 +7,23 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Puts parts of snapshots together; parts of several writers may be mixed, repeated or missing. Not thread-safe. */
+/**
+ * Assembles snapshots from their parts. Parts of several snapshots may be interleaved, duplicated or missing.
+ *
+ * <p>Not thread-safe.
+ */
 final class SnapshotAssembler {
-    private static final int MAX_OPEN_ROUNDS = 8;
+    private static final int MAX_INCOMPLETE_SNAPSHOTS = 8;
 
     private final Map<String, TreeMap<Integer, SnapshotRecord>> partsByRound = new LinkedHashMap<>();
 
-    /** Takes one part and returns its snapshot as a single part once no part is missing. */
+    /** Adds a part and, once all parts of its snapshot are present, returns the snapshot as a single part. */
     Optional<SnapshotRecord> add(SnapshotRecord part) {
         TreeMap<Integer, SnapshotRecord> parts = partsByRound.computeIfAbsent(part.round(), round -> new TreeMap<>());
-        if (parts.isEmpty() || belongTogether(parts.firstEntry().getValue(), part)) {
+        if (parts.isEmpty() || isSameSnapshot(parts.firstEntry().getValue(), part)) {
             parts.putIfAbsent(part.part(), part);
         }
-        forgetOldestRounds();
+        evictOldestSnapshots();
         if (parts.size() < part.partCount()) {
             return Optional.empty();
         }
@@ -30,14 +34,14 @@
                 part.round(), part.writer(), part.wallMillis(), part.completeTo(), part.head(), 0, 1, documents));
     }
 
-    private static boolean belongTogether(SnapshotRecord one, SnapshotRecord other) {
+    private static boolean isSameSnapshot(SnapshotRecord one, SnapshotRecord other) {
         return one.partCount() == other.partCount()
                 && one.completeTo() == other.completeTo()
                 && one.head().equals(other.head());
     }
 
-    private void forgetOldestRounds() {
-        while (partsByRound.size() > MAX_OPEN_ROUNDS) {
+    private void evictOldestSnapshots() {
+        while (partsByRound.size() > MAX_INCOMPLETE_SNAPSHOTS) {
             partsByRound.remove(partsByRound.keySet().iterator().next());
         }
     }
--- a/core/src/main/java/org/jasminehub/core/history/SnapshotPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/history/SnapshotPolicy.java
@@ -6,28 +6,31 @@
 import org.jasminehub.core.membership.Member;
 
 /**
- * Decides who writes a snapshot and when: the first in rank after a quarter of the retention time, each of the next few
- * a turn later, so that one is complete well before the one before it is dropped.
+ * Decides when an instance writes a snapshot to the log.
+ *
+ * <p>The first instance in hash order writes when the newest snapshot is a quarter of the retention time old. Each of
+ * the next few instances waits 1/32 of the retention time longer and takes over if no snapshot has appeared. A new
+ * snapshot is thus complete well before the log drops the previous one.
  *
  * <p>Immutable.
  */
 public final class SnapshotPolicy {
-    private static final int REFRESHES_PER_RETENTION = 4;
-    private static final int TURNS_PER_RETENTION = 32;
+    private static final int SNAPSHOTS_PER_RETENTION = 4;
+    private static final int WRITER_DELAYS_PER_RETENTION = 32;
     private static final int MAX_WRITERS = 8;
 
     private final long retentionMillis;
 
-    /** Creates a policy for a log that keeps records for {@code retentionMillis}. */
+    /** Creates a policy for a log that retains records for {@code retentionMillis}. */
     public SnapshotPolicy(long retentionMillis) {
         this.retentionMillis = Checks.positive("retentionMillis", retentionMillis);
     }
 
     /**
-     * Tells whether {@code self} writes a snapshot now.
+     * Returns whether {@code self} must write a snapshot now.
      *
-     * @param members the fleet as {@code self} sees it
-     * @param ageMillis how old the newest whole snapshot is; where none was seen, {@link #dueAgeMillis} and the time
+     * @param members the members as {@code self} knows them
+     * @param ageMillis the age of the newest complete snapshot; if there is none, {@link #dueAgeMillis} plus the time
      *     since this instance started
      */
     public boolean isDue(InstanceId self, List<Member> members, long ageMillis) {
@@ -35,12 +38,12 @@
         if (rank >= MAX_WRITERS) {
             return false;
         }
-        long turnMillis = retentionMillis / TURNS_PER_RETENTION;
-        return ageMillis >= dueAgeMillis() + rank * turnMillis;
+        long writerDelayMillis = retentionMillis / WRITER_DELAYS_PER_RETENTION;
+        return ageMillis >= dueAgeMillis() + rank * writerDelayMillis;
     }
 
-    /** Returns the age at which the first in rank writes the next snapshot. */
+    /** Returns the age of the newest snapshot at which the first instance writes the next one. */
     public long dueAgeMillis() {
-        return retentionMillis / REFRESHES_PER_RETENTION;
+        return retentionMillis / SNAPSHOTS_PER_RETENTION;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/history/SnapshotRecord.java
+++ b/core/src/main/java/org/jasminehub/core/history/SnapshotRecord.java
@@ -4,16 +4,16 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * One part of a snapshot: a share of the documents in force after every record below {@code completeTo}.
+ * One part of a snapshot: some of the documents in force after all records below {@code completeTo}.
  *
- * @param round a value that all parts of one snapshot share and no other snapshot has
- * @param writer the instance that wrote it
- * @param wallMillis when, by the writer's clock; a hint of its age only
- * @param completeTo the offset of the first record that it leaves out
+ * @param round the unique identifier of the snapshot, which all its parts share
+ * @param writer the instance that wrote the snapshot
+ * @param wallMillis the wall-clock time of the writer; only used to estimate the age of the snapshot
+ * @param completeTo the offset of the first record that is not included
  * @param head the head of the hash chain at {@code completeTo}
- * @param part this part's number, from 0
- * @param partCount how many parts the snapshot has
- * @param documents this part's documents
+ * @param part the number of this part, from 0
+ * @param partCount the number of parts of the snapshot
+ * @param documents the documents in this part
  */
 public record SnapshotRecord(
         String round,
@@ -25,7 +25,7 @@
         int partCount,
         List<AcceptedDocument> documents)
         implements HistoryRecord {
-    /** Creates a checked part. */
+    /** Validates the components and copies the documents. */
     public SnapshotRecord {
         Checks.notBlank("round", round);
         Checks.notBlank("writer", writer);
--- a/core/src/main/java/org/jasminehub/core/history/VersionedDocument.java
+++ b/core/src/main/java/org/jasminehub/core/history/VersionedDocument.java
@@ -3,10 +3,10 @@
 import org.jasminehub.core.document.TeamDocument;
 
 /**
- * A document in force, parsed.
+ * The parsed document in force of a team.
  *
- * @param source the accepted record's fields
- * @param document what its text describes
+ * @param source the accepted document with its YAML text
+ * @param document the parsed document
  */
 public record VersionedDocument(AcceptedDocument source, TeamDocument document) {
     /** Returns the version in force. */
--- a/core/src/main/java/org/jasminehub/core/history/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/history/package-info.java
@@ -1,4 +1,4 @@
-/** The history of documents: what the log's records mean, who publishes snapshots, and how peers repair each other. */
+/** The document history: decides the records of the log, schedules snapshots and repairs gaps from peers. */
 @NullMarked
 package org.jasminehub.core.history;
 
--- a/core/src/main/java/org/jasminehub/core/retry/FailedAttempt.java
+++ b/core/src/main/java/org/jasminehub/core/retry/FailedAttempt.java
@@ -6,22 +6,22 @@
 import org.jasminehub.core.identity.WorkspaceId;
 
 /**
- * An attempt that gave no whole answer.
+ * An attempt that did not produce a complete response.
  *
- * @param subject whose request it is and how it is treated
- * @param attempts how many attempts were made, this one included
- * @param code why it failed
- * @param outcome what is known of its effect
- * @param remainingMillis how long until the request's deadline
- * @param estimateMillis how long a further attempt would take until its first token
+ * @param subject the workspace and the route of the request
+ * @param attempts the number of attempts made, including this one
+ * @param code the reason for the failure
+ * @param outcome whether the request was executed, as far as it is known
+ * @param remainingMillis the time until the deadline of the request
+ * @param estimateMillis the estimated time until the first token of a further attempt
  */
 public record FailedAttempt(
         Subject subject, int attempts, ErrorCode code, Outcome outcome, long remainingMillis, long estimateMillis) {
     /**
-     * Whose request it is and how it is treated.
+     * The workspace and the route of a request.
      *
-     * @param workspace on whose behalf it runs
-     * @param route the route that took it
+     * @param workspace the workspace on whose behalf the request runs
+     * @param route the route that matched the request
      */
     public record Subject(WorkspaceId workspace, RouteRule route) {}
 }
--- a/core/src/main/java/org/jasminehub/core/retry/OutlierPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/retry/OutlierPolicy.java
@@ -12,114 +12,115 @@
 import org.jasminehub.core.time.Clock;
 
 /**
- * Leaves out endpoints that fail far more often than the others.
+ * Ejects endpoints that fail far more often than the others (outlier detection).
  *
- * <p>An endpoint is left out only on enough attempts, only if the others do clearly better, and never more than a
- * bounded share of them at a time; so a fault that all of them share ejects none. It comes back after a time that
- * doubles with each ejection in a row.
+ * <p>An endpoint is ejected only after a minimum number of attempts and only if the others fail clearly less often, so
+ * a fault that affects all endpoints ejects none. At most a fixed share of the endpoints is ejected at a time. The
+ * duration of an ejection doubles with each consecutive one, up to four times.
  *
  * <pre>{@code
  * policy.record(endpoint, succeeded);
- * Set<EndpointId> leftOut = policy.ejected(endpoints);
+ * Set<EndpointId> ejected = policy.ejected(endpoints);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class OutlierPolicy {
     private static final int FULL_PERCENT = 100;
-    private static final int TIMES_WORSE_THAN_OTHERS = 3;
+    private static final int MIN_RATIO_TO_OTHERS = 3;
     private static final int MAX_DOUBLINGS = 4;
 
     private final Clock clock;
     private final OutlierSettings settings;
     private final EventSink events;
-    private final Map<EndpointId, History> histories = new HashMap<>();
+    private final Map<EndpointId, EndpointStats> statsByEndpoint = new HashMap<>();
 
-    /** Creates a policy that leaves out nothing yet. */
+    /** Creates a policy with no endpoint ejected. */
     public OutlierPolicy(Clock clock, OutlierSettings settings, EventSink events) {
         this.clock = clock;
         this.settings = settings;
         this.events = events;
     }
 
-    /** Notes how an attempt at the endpoint ended; a refusal as not run is no failure. */
+    /** Records the result of an attempt at {@code endpoint}; a refusal without execution is not a failure. */
     public synchronized void record(EndpointId endpoint, boolean succeeded) {
-        History history = present(endpoint);
-        history.attempts++;
-        history.failures += succeeded ? 0 : 1;
+        EndpointStats stats = currentStats(endpoint);
+        stats.attempts++;
+        stats.failures += succeeded ? 0 : 1;
     }
 
-    /** Drops what is known of an endpoint that has left. */
+    /** Removes the statistics of an endpoint that has left. */
     public synchronized void forget(EndpointId endpoint) {
-        histories.remove(endpoint);
+        statsByEndpoint.remove(endpoint);
     }
 
-    /** Returns which of {@code endpoints} are left out at present. */
+    /** Ejects outliers among {@code endpoints} and returns those that are currently ejected. */
     public synchronized Set<EndpointId> ejected(Collection<EndpointId> endpoints) {
         Set<EndpointId> ejected = new HashSet<>();
         for (EndpointId endpoint : endpoints) {
-            if (present(endpoint).ejectedUntilMillis > clock.monotonicMillis()) {
+            if (currentStats(endpoint).ejectedUntilMillis > clock.monotonicMillis()) {
                 ejected.add(endpoint);
             }
         }
-        int most = endpoints.size() * settings.maxEjectedPercent() / FULL_PERCENT;
-        List<EndpointId> suspects = endpoints.stream()
+        int maxEjected = endpoints.size() * settings.maxEjectedPercent() / FULL_PERCENT;
+        List<EndpointId> outliers = endpoints.stream()
                 .filter(endpoint -> !ejected.contains(endpoint) && isOutlier(endpoint, endpoints))
                 .sorted(Comparator.comparingDouble(
-                        endpoint -> -present(endpoint).failureShare()))
-                .limit(Math.max(0, most - ejected.size()))
+                        endpoint -> -currentStats(endpoint).failureShare()))
+                .limit(Math.max(0, maxEjected - ejected.size()))
                 .toList();
-        suspects.forEach(this::eject);
-        ejected.addAll(suspects);
+        outliers.forEach(this::eject);
+        ejected.addAll(outliers);
         return ejected;
     }
 
     private boolean isOutlier(EndpointId endpoint, Collection<EndpointId> endpoints) {
-        History history = present(endpoint);
-        boolean enough = history.attempts >= settings.minAttempts()
-                && history.failureShare() * FULL_PERCENT >= settings.minFailurePercent();
-        return enough && history.failureShare() > TIMES_WORSE_THAN_OTHERS * shareOfOthers(endpoint, endpoints);
+        EndpointStats stats = currentStats(endpoint);
+        boolean hasEnoughEvidence = stats.attempts >= settings.minAttempts()
+                && stats.failureShare() * FULL_PERCENT >= settings.minFailurePercent();
+        return hasEnoughEvidence
+                && stats.failureShare() > MIN_RATIO_TO_OTHERS * medianShareOfOthers(endpoint, endpoints);
     }
 
-    /** Returns the median of the other endpoints, so that a few bad ones do not hide each other. */
-    private double shareOfOthers(EndpointId endpoint, Collection<EndpointId> endpoints) {
+    /** Returns the median failure share of the other endpoints, so that a few failing ones do not mask each other. */
+    private double medianShareOfOthers(EndpointId endpoint, Collection<EndpointId> endpoints) {
         double[] shares = endpoints.stream()
                 .filter(other -> !other.equals(endpoint))
-                .map(this::present)
-                .filter(history -> history.attempts > 0)
-                .mapToDouble(History::failureShare)
+                .map(this::currentStats)
+                .filter(stats -> stats.attempts > 0)
+                .mapToDouble(EndpointStats::failureShare)
                 .sorted()
                 .toArray();
         return shares.length == 0 ? 1 : shares[shares.length / 2];
     }
 
     private void eject(EndpointId endpoint) {
-        History history = present(endpoint);
-        long millis = settings.ejectionMillis() << Math.min(MAX_DOUBLINGS, history.ejectionsInRow);
-        events.emit(new EndpointEjected(endpoint.value(), history.failures, history.attempts, millis));
-        history.ejectionsInRow++;
-        history.ejectedUntilMillis = clock.monotonicMillis() + millis;
-        history.startWindow(history.ejectedUntilMillis);
+        EndpointStats stats = currentStats(endpoint);
+        long durationMillis = settings.ejectionMillis() << Math.min(MAX_DOUBLINGS, stats.consecutiveEjections);
+        events.emit(new EndpointEjected(endpoint.value(), stats.failures, stats.attempts, durationMillis));
+        stats.consecutiveEjections++;
+        stats.ejectedUntilMillis = clock.monotonicMillis() + durationMillis;
+        stats.startWindow(stats.ejectedUntilMillis);
     }
 
-    private History present(EndpointId endpoint) {
+    private EndpointStats currentStats(EndpointId endpoint) {
         long nowMillis = clock.monotonicMillis();
-        History history = histories.computeIfAbsent(endpoint, key -> new History(nowMillis));
-        if (nowMillis - history.windowStartMillis >= settings.windowMillis()) {
-            history.ejectionsInRow = history.failures == 0 ? 0 : history.ejectionsInRow;
-            history.startWindow(nowMillis);
+        EndpointStats stats = statsByEndpoint.computeIfAbsent(endpoint, key -> new EndpointStats(nowMillis));
+        if (nowMillis - stats.windowStartMillis >= settings.windowMillis()) {
+            stats.consecutiveEjections = stats.failures == 0 ? 0 : stats.consecutiveEjections;
+            stats.startWindow(nowMillis);
         }
-        return history;
+        return stats;
     }
 
-    private static final class History {
+    private static final class EndpointStats {
         private long windowStartMillis;
         private int attempts;
         private int failures;
-        private int ejectionsInRow;
+        private int consecutiveEjections;
         private long ejectedUntilMillis;
 
-        private History(long nowMillis) {
+        private EndpointStats(long nowMillis) {
             this.windowStartMillis = nowMillis;
         }
 
@@ -127,8 +128,8 @@
             return attempts == 0 ? 0 : (double) failures / attempts;
         }
 
-        private void startWindow(long millis) {
-            windowStartMillis = millis;
+        private void startWindow(long startMillis) {
+            windowStartMillis = startMillis;
             attempts = 0;
             failures = 0;
         }
--- a/core/src/main/java/org/jasminehub/core/retry/OutlierSettings.java
+++ b/core/src/main/java/org/jasminehub/core/retry/OutlierSettings.java
@@ -3,19 +3,19 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * When an endpoint is left out.
+ * Settings for the ejection of endpoints.
  *
- * @param minAttempts how many attempts in a window are evidence enough
- * @param minFailurePercent how many of a hundred must have failed
- * @param maxEjectedPercent how many of a hundred endpoints may be left out at a time
- * @param windowMillis over what time attempts are counted
- * @param ejectionMillis for how long an endpoint is left out the first time; each further time in a row doubles it
+ * @param minAttempts the minimum number of attempts in a window for an ejection
+ * @param minFailurePercent the minimum percentage of failed attempts for an ejection
+ * @param maxEjectedPercent the maximum percentage of endpoints that are ejected at a time
+ * @param windowMillis the time window over which attempts are counted
+ * @param ejectionMillis the duration of the first ejection; each consecutive one lasts twice as long
  */
 public record OutlierSettings(
         int minAttempts, int minFailurePercent, int maxEjectedPercent, long windowMillis, long ejectionMillis) {
     private static final int FULL_PERCENT = 100;
 
-    /** Creates checked settings. */
+    /** Validates the components. */
     public OutlierSettings {
         Checks.positive("minAttempts", minAttempts);
         Checks.inRange("minFailurePercent", minFailurePercent, 1, FULL_PERCENT);
@@ -24,7 +24,7 @@
         Checks.positive("ejectionMillis", ejectionMillis);
     }
 
-    /** Returns the settings used where an operator sets none. */
+    /** Returns the default settings. */
     public static OutlierSettings defaults() {
         return new OutlierSettings(5, 50, 30, 10_000, 5_000);
     }
--- a/core/src/main/java/org/jasminehub/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/jasminehub/core/retry/RetryBudget.java
@@ -3,20 +3,22 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * Earns a part of a retry with each first attempt, and spends a whole one with each retry.
+ * A retry budget. Each first attempt earns a fraction of a retry, and each retry spends one.
  *
- * <p>Over n first attempts at most {@code n × percent / 100 + reserve} retries are allowed. Not safe for use by several
- * threads.
+ * <p>Over n first attempts at most {@code n × percent / 100 + reserve} retries are allowed.
+ *
+ * <p>Not thread-safe.
  */
 final class RetryBudget {
-    private static final int FULL_PERCENT = 100;
+    /** One retry, in the unit of the balance. */
+    private static final int ONE_RETRY = 100;
 
     private final long maxBalance;
-    /** In hundredths of a retry, so that sums are exact. */
+    /** Retries left, in hundredths of a retry, so that sums are exact. */
     private long balance;
 
     RetryBudget(int reserve) {
-        this.maxBalance = Checks.positive("reserve", reserve) * FULL_PERCENT;
+        this.maxBalance = Checks.positive("reserve", reserve) * ONE_RETRY;
         this.balance = maxBalance;
     }
 
@@ -25,10 +27,10 @@
     }
 
     boolean hasRetry() {
-        return balance >= FULL_PERCENT;
+        return balance >= ONE_RETRY;
     }
 
     void spend() {
-        balance -= FULL_PERCENT;
+        balance -= ONE_RETRY;
     }
 }
--- a/core/src/main/java/org/jasminehub/core/retry/RetryBudgets.java
+++ b/core/src/main/java/org/jasminehub/core/retry/RetryBudgets.java
@@ -6,15 +6,14 @@
 import org.jasminehub.core.membership.Target;
 
 /**
- * The retries that workspaces and services have left.
+ * The retry budgets of workspaces and services.
  *
- * <p>A retry is spent from both its workspace's budget and its service's, or not at all. Safe for use by several
- * threads.
+ * <p>A retry is spent from the budgets of both its workspace and its service, or from neither. Thread-safe.
  */
 public final class RetryBudgets {
     private static final int INITIAL_ENTRIES = 64;
     private static final float LOAD_FACTOR = 0.75f;
-    private static final boolean BY_ACCESS = true;
+    private static final boolean ACCESS_ORDER = true;
 
     private final int reserve;
     private final Map<Object, RetryBudget> budgets;
@@ -22,12 +21,12 @@
     /**
      * Creates full budgets.
      *
-     * @param reserve how many retries a budget holds at most
-     * @param maxBudgets how many budgets are kept; the least used are dropped first
+     * @param reserve the maximum number of retries in a budget
+     * @param maxBudgets the maximum number of budgets; the least recently used ones are dropped first
      */
     public RetryBudgets(int reserve, int maxBudgets) {
         this.reserve = reserve;
-        this.budgets = new LinkedHashMap<>(INITIAL_ENTRIES, LOAD_FACTOR, BY_ACCESS) {
+        this.budgets = new LinkedHashMap<>(INITIAL_ENTRIES, LOAD_FACTOR, ACCESS_ORDER) {
             private static final long serialVersionUID = 1L;
 
             @Override
@@ -37,21 +36,21 @@
         };
     }
 
-    /** Notes a first attempt, which earns {@code percent} of a retry. */
+    /** Adds {@code percent} of a retry to both budgets, for a first attempt. */
     public synchronized void earn(WorkspaceId workspace, Target service, int percent) {
         budget(workspace).earn(percent);
         budget(service).earn(percent);
     }
 
-    /** Spends one retry where both budgets have one, and tells whether they had. */
+    /** Spends one retry from both budgets if each has one, and returns whether it did. */
     public synchronized boolean trySpend(WorkspaceId workspace, Target service) {
-        RetryBudget ofWorkspace = budget(workspace);
-        RetryBudget ofService = budget(service);
-        if (!ofWorkspace.hasRetry() || !ofService.hasRetry()) {
+        RetryBudget workspaceBudget = budget(workspace);
+        RetryBudget serviceBudget = budget(service);
+        if (!workspaceBudget.hasRetry() || !serviceBudget.hasRetry()) {
             return false;
         }
-        ofWorkspace.spend();
-        ofService.spend();
+        workspaceBudget.spend();
+        serviceBudget.spend();
         return true;
     }
 
--- a/core/src/main/java/org/jasminehub/core/retry/RetryDecision.java
+++ b/core/src/main/java/org/jasminehub/core/retry/RetryDecision.java
@@ -1,17 +1,17 @@
 package org.jasminehub.core.retry;
 
-/** What to do after a failed attempt. */
+/** Whether a request is retried after a failed attempt. */
 public enum RetryDecision {
-    /** Send it again, to another endpoint. */
-    AGAIN,
-    /** Give up: a repeat could have an effect of its own. */
+    /** Send the request again, to another endpoint. */
+    RETRY_ALLOWED,
+    /** Give up: the request may have run and is not idempotent. */
     MAY_HAVE_RUN,
-    /** Give up: a repeat would fail in the same way. */
-    POINTLESS,
-    /** Give up: all attempts that the route allows were made. */
-    ATTEMPTS_USED,
-    /** Give up: too little time is left. */
-    DEADLINE,
-    /** Give up: the workspace or the service has no retry left. */
-    BUDGET_USED
+    /** Give up: a retry would fail in the same way, or the request is done. */
+    NOT_RETRYABLE,
+    /** Give up: the route allows no further attempt. */
+    ATTEMPTS_EXHAUSTED,
+    /** Give up: too little time is left until the deadline. */
+    DEADLINE_TOO_CLOSE,
+    /** Give up: the budget of the workspace or of the service has no retry left. */
+    BUDGET_EXHAUSTED
 }
--- a/core/src/main/java/org/jasminehub/core/retry/RetryEventKind.java
+++ b/core/src/main/java/org/jasminehub/core/retry/RetryEventKind.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The kinds of events that retries emit. */
+/** Event kinds of retries and outlier detection. */
 public enum RetryEventKind implements EventKind {
-    /** An endpoint is left out for a while. */
+    /** An endpoint was ejected temporarily. */
     ENDPOINT_EJECTED(
             6200,
             Severity.WARNING,
--- a/core/src/main/java/org/jasminehub/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/jasminehub/core/retry/RetryPolicy.java
@@ -7,24 +7,24 @@
 import org.jasminehub.core.error.Outcome;
 
 /**
- * Decides whether a request is sent again after a failed attempt.
+ * Decides whether a request is retried after a failed attempt.
  *
- * <p>Only work that certainly did not run, or that is idempotent, is repeated; never past the deadline; and only while
- * its workspace and its service have a retry left. Where every endpoint fails, n requests cause at most
- * {@code n × (1 + budgetPercent / 100) + reserve} attempts.
+ * <p>A request is retried only if it certainly did not run or is idempotent, if enough time is left until its deadline,
+ * and if the budgets of its workspace and its service have a retry left. Even if every endpoint fails, n requests cause
+ * at most {@code n × (1 + budgetPercent / 100) + reserve} attempts.
  *
  * <pre>{@code
- * policy.firstAttempt(subject);
+ * policy.recordFirstAttempt(subject);
  * ...
- * if (policy.decide(failedAttempt) == RetryDecision.AGAIN) {
+ * if (policy.decide(failedAttempt) == RetryDecision.RETRY_ALLOWED) {
  *     send();
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class RetryPolicy {
-    private static final Set<ErrorCode> WORTH_REPEATING = EnumSet.of(
+    private static final Set<ErrorCode> RETRYABLE = EnumSet.of(
             ErrorCode.OVERLOADED,
             ErrorCode.DEADLINE_UNREACHABLE,
             ErrorCode.ENDPOINT_FAILED,
@@ -36,36 +36,36 @@
 
     private final RetryBudgets budgets;
 
-    /** Creates a policy that spends from {@code budgets}. */
+    /** Creates a policy that spends retries from {@code budgets}. */
     public RetryPolicy(RetryBudgets budgets) {
         this.budgets = budgets;
     }
 
-    /** Notes the first attempt of a request. */
-    public void firstAttempt(FailedAttempt.Subject subject) {
+    /** Records the first attempt of a request, which adds to its retry budgets. */
+    public void recordFirstAttempt(FailedAttempt.Subject subject) {
         budgets.earn(
                 subject.workspace(),
                 subject.route().target(),
                 subject.route().retry().budgetPercent());
     }
 
-    /** Decides after a failed attempt; {@link RetryDecision#AGAIN} has spent a retry. */
+    /** Decides whether to retry; {@link RetryDecision#RETRY_ALLOWED} means that a retry has been spent. */
     public RetryDecision decide(FailedAttempt attempt) {
-        if (attempt.outcome() == Outcome.DONE || !WORTH_REPEATING.contains(attempt.code())) {
-            return RetryDecision.POINTLESS;
+        if (attempt.outcome() == Outcome.DONE || !RETRYABLE.contains(attempt.code())) {
+            return RetryDecision.NOT_RETRYABLE;
         }
         if (attempt.outcome() == Outcome.UNKNOWN && !isIdempotent(attempt)) {
             return RetryDecision.MAY_HAVE_RUN;
         }
         if (attempt.attempts() >= attempt.subject().route().retry().maxAttempts()) {
-            return RetryDecision.ATTEMPTS_USED;
+            return RetryDecision.ATTEMPTS_EXHAUSTED;
         }
         if (attempt.remainingMillis() <= attempt.estimateMillis()) {
-            return RetryDecision.DEADLINE;
+            return RetryDecision.DEADLINE_TOO_CLOSE;
         }
         boolean spent = budgets.trySpend(
                 attempt.subject().workspace(), attempt.subject().route().target());
-        return spent ? RetryDecision.AGAIN : RetryDecision.BUDGET_USED;
+        return spent ? RetryDecision.RETRY_ALLOWED : RetryDecision.BUDGET_EXHAUSTED;
     }
 
     private static boolean isIdempotent(FailedAttempt attempt) {
--- a/core/src/main/java/org/jasminehub/core/retry/package-info.java
+++ b/core/src/main/java/org/jasminehub/core/retry/package-info.java
@@ -1,4 +1,4 @@
-/** Whether a request that failed is sent again, and which endpoints are left out for a while. */
+/** Retries of failed requests, and outlier detection, which ejects failing endpoints temporarily. */
 @NullMarked
 package org.jasminehub.core.retry;
 
--- a/core/src/test/java/org/jasminehub/core/answer/FreshReadPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/answer/FreshReadPolicyTest.java
@@ -14,24 +14,26 @@
     private final ManualClock clock = new ManualClock(10_000);
     private final FreshReadPolicy policy = new FreshReadPolicy(2_000, 200, clock);
 
-    private boolean isCertain(long heard, MemberState own, @Nullable MemberState listed, long leaseUntil) {
-        return policy.isCertain(new EndpointStanding(new EndpointId("metrics-1"), heard, own, listed, leaseUntil));
+    private boolean isConfirmed(
+            long lastContactMillis, MemberState reported, @Nullable MemberState listed, long leaseUntilMillis) {
+        return policy.isConfirmed(
+                new EndpointStatus(new EndpointId("metrics-1"), lastContactMillis, reported, listed, leaseUntilMillis));
     }
 
     @Test
-    void testEveryDoubtLeavesTheEndpointOut() {
-        assertTrue(isCertain(9_000, MemberState.LIVE, MemberState.LIVE, 20_000));
-        assertFalse(isCertain(7_999, MemberState.LIVE, MemberState.LIVE, 20_000));
-        assertFalse(isCertain(9_000, MemberState.LEAVING, MemberState.LIVE, 20_000));
-        assertFalse(isCertain(9_000, MemberState.LIVE, MemberState.LEAVING, 20_000));
-        assertFalse(isCertain(9_000, MemberState.LIVE, null, 20_000));
-        assertFalse(isCertain(9_000, MemberState.LIVE, MemberState.LIVE, 10_200));
+    void testEndpointThatFailsAnyConditionIsNotConfirmed() {
+        assertTrue(isConfirmed(9_000, MemberState.LIVE, MemberState.LIVE, 20_000));
+        assertFalse(isConfirmed(7_999, MemberState.LIVE, MemberState.LIVE, 20_000));
+        assertFalse(isConfirmed(9_000, MemberState.LEAVING, MemberState.LIVE, 20_000));
+        assertFalse(isConfirmed(9_000, MemberState.LIVE, MemberState.LEAVING, 20_000));
+        assertFalse(isConfirmed(9_000, MemberState.LIVE, null, 20_000));
+        assertFalse(isConfirmed(9_000, MemberState.LIVE, MemberState.LIVE, 10_200));
     }
 
     @Test
     void testFreshReadIsNeverSharedOrHedged() {
         DeliveryRule rule = DeliveryRule.of(RouteKind.FRESH_READ);
         assertFalse(rule.mayShare() || rule.mayHedge() || rule.mayResume());
-        assertTrue(rule.needsCertainEndpoint());
+        assertTrue(rule.needsConfirmedEndpoint());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/drain/EntryDrainTest.java
+++ b/core/src/test/java/org/jasminehub/core/drain/EntryDrainTest.java
@@ -18,7 +18,7 @@
     private final ManualClock clock = new ManualClock(0);
     private final List<Event> events = new ArrayList<>();
 
-    /** Stops seven instances one after the other under callers that keep addresses and streams of any length. */
+    /** Drains seven instances in turn, with callers that cache addresses and open streams of random length. */
     private int countFailures(Random random, EntryDrainPolicy policy) {
         int instanceCount = 7;
         long[][] streamEnds = new long[instanceCount][20];
@@ -26,24 +26,24 @@
         for (int leaving = 0; leaving < instanceCount; leaving++) {
             int index = leaving;
             EntryDrain drain =
-                    new EntryDrain("entry-" + leaving, policy, () -> open(streamEnds[index]), clock, events::add);
+                    new EntryDrain("entry-" + leaving, policy, () -> countOpen(streamEnds[index]), clock, events::add);
             long startedMillis = clock.monotonicMillis();
             while (drain.advance() != DrainPhase.STOPPED) {
                 clock.advanceMillis(1 + random.nextInt(20));
-                long askedMillis = clock.monotonicMillis() - random.nextInt(TTL_MILLIS + 1);
-                boolean isStillNamed = askedMillis <= startedMillis + random.nextInt(LIST_LAG_MILLIS + 1);
-                if (isStillNamed) {
+                long listFetchedMillis = clock.monotonicMillis() - random.nextInt(TTL_MILLIS + 1);
+                boolean isStillListed = listFetchedMillis <= startedMillis + random.nextInt(LIST_LAG_MILLIS + 1);
+                if (isStillListed) {
                     drain.advance();
-                    failures += drain.takesRequests() ? 0 : 1;
+                    failures += drain.acceptsRequests() ? 0 : 1;
                     streamEnds[index][random.nextInt(20)] = clock.monotonicMillis() + random.nextInt(900);
                 }
             }
-            failures += open(streamEnds[index]);
+            failures += countOpen(streamEnds[index]);
         }
         return failures;
     }
 
-    private int open(long[] streamEnds) {
+    private int countOpen(long[] streamEnds) {
         int count = 0;
         for (long endMillis : streamEnds) {
             count += endMillis > clock.monotonicMillis() ? 1 : 0;
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void testNoCallerIsRefusedOrCutWhileAllStopInTurn() {
+    void testNoRequestIsRefusedOrInterruptedDuringRollingDrain() {
         EntryDrainPolicy policy = new EntryDrainPolicy(LIST_LAG_MILLIS, TTL_MILLIS, MAX_DRAIN_MILLIS);
         for (int seed = 0; seed < 200; seed++) {
             assertEquals(0, countFailures(new Random(seed), policy));
@@ -60,19 +60,19 @@
     }
 
     @Test
-    void testCheckFindsAStopThatIgnoresTheTimeToLive() {
-        EntryDrainPolicy hasty = new EntryDrainPolicy(0, 0, MAX_DRAIN_MILLIS);
-        assertTrue(countFailures(new Random(0), hasty) > 0);
+    void testSimulationDetectsDrainThatIgnoresTimeToLive() {
+        EntryDrainPolicy withoutTtl = new EntryDrainPolicy(0, 0, MAX_DRAIN_MILLIS);
+        assertTrue(countFailures(new Random(0), withoutTtl) > 0);
     }
 
     @Test
-    void testCheckFindsABoundThatIsTooShort() {
-        EntryDrainPolicy shortBound = new EntryDrainPolicy(LIST_LAG_MILLIS, TTL_MILLIS, TTL_MILLIS + 100);
-        assertTrue(countFailures(new Random(0), shortBound) > 0);
+    void testSimulationDetectsTooShortTimeLimit() {
+        EntryDrainPolicy shortLimit = new EntryDrainPolicy(LIST_LAG_MILLIS, TTL_MILLIS, TTL_MILLIS + 100);
+        assertTrue(countFailures(new Random(0), shortLimit) > 0);
     }
 
     @Test
-    void testBoundIsKeptAndWhatRemainedIsReported() {
+    void testDrainStopsAtTimeLimitAndReportsOpenRequests() {
         EntryDrainPolicy policy = new EntryDrainPolicy(LIST_LAG_MILLIS, TTL_MILLIS, MAX_DRAIN_MILLIS);
         EntryDrain drain = new EntryDrain("entry-1", policy, () -> 3, clock, events::add);
         clock.advanceMillis(MAX_DRAIN_MILLIS);
@@ -83,12 +83,13 @@
     }
 
     @Test
-    void testAgentTakesItsOwnKeysUntilTheyHaveANewHome() {
+    void testAgentAcceptsItsOwnKeysUntilTheyHaveMoved() {
         AgentDrainPolicy policy = new AgentDrainPolicy(3_000, 60_000);
         assertEquals(DrainPhase.ANNOUNCED, policy.phase(3_000, 0, true));
         assertEquals(DrainPhase.FINISHING, policy.phase(3_001, 0, false));
         assertEquals(DrainPhase.STOPPED, policy.phase(3_001, 0, true));
         assertEquals(DrainPhase.STOPPED, policy.phase(60_000, 9, false));
-        assertTrue(policy.takes(DrainPhase.FINISHING, true) && !policy.takes(DrainPhase.FINISHING, false));
+        assertTrue(policy.acceptsRequest(DrainPhase.FINISHING, true)
+                && !policy.acceptsRequest(DrainPhase.FINISHING, false));
     }
 }
--- a/core/src/test/java/org/jasminehub/core/history/AuditVerifierTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/AuditVerifierTest.java
@@ -12,10 +12,10 @@
 final class AuditVerifierTest {
     private static final int ENTRIES = 6;
 
-    private final List<AuditEntry> entries = new ArrayList<>(chain("honest"));
+    private final List<AuditEntry> entries = new ArrayList<>(chainOf("honest"));
     private final ChainHead head = entries.get(ENTRIES - 1).head();
 
-    private static List<AuditEntry> chain(String nonce) {
+    private static List<AuditEntry> chainOf(String nonce) {
         List<AuditEntry> entries = new ArrayList<>();
         ChainHead head = ChainHead.START;
         for (int i = 0; i < ENTRIES; i++) {
@@ -47,7 +47,7 @@
                 entry.hash());
     }
 
-    private void assertNamed(AuditFault.Kind kind, long sequence) {
+    private void assertFirstFault(AuditFault.Kind kind, long sequence) {
         List<AuditFault> faults = faults();
         assertFalse(faults.isEmpty());
         assertEquals(kind, faults.get(0).kind());
@@ -55,44 +55,44 @@
     }
 
     @Test
-    void testUntouchedTrailHasNoFault() {
+    void testUnchangedTrailHasNoFault() {
         assertEquals(List.of(), faults());
     }
 
     @Test
-    void testEachRemovedEntryIsNamed() {
+    void testEachRemovedEntryIsReported() {
         for (int i = 0; i < ENTRIES; i++) {
             AuditEntry removed = entries.remove(i);
-            assertNamed(AuditFault.Kind.REMOVED, i + 1L);
+            assertFirstFault(AuditFault.Kind.REMOVED, i + 1L);
             entries.add(i, removed);
         }
     }
 
     @Test
-    void testEachChangedEntryIsNamed() {
+    void testEachChangedEntryIsReported() {
         for (int i = 0; i < ENTRIES; i++) {
             AuditEntry entry = entries.set(i, withOperator(entries.get(i), "somebody else"));
-            assertNamed(AuditFault.Kind.CHANGED, i + 1L);
+            assertFirstFault(AuditFault.Kind.CHANGED, i + 1L);
             entries.set(i, entry);
         }
     }
 
     @Test
-    void testChangedEntryWithANewHashIsNamed() {
+    void testChangedEntryWithRecomputedHashIsReported() {
         AuditEntry changed = withOperator(entries.get(2), "somebody else");
         entries.set(2, changed.withHash(ChainHead.hashOf(changed)));
-        assertNamed(AuditFault.Kind.CHANGED, 3);
+        assertFirstFault(AuditFault.Kind.CHANGED, 3);
     }
 
     @Test
-    void testSwappedEntriesAreFound() {
+    void testSwappedEntriesAreReported() {
         entries.add(1, entries.remove(2));
-        assertNamed(AuditFault.Kind.REMOVED, 2);
+        assertFirstFault(AuditFault.Kind.REMOVED, 2);
     }
 
     @Test
-    void testTrailForgedAsAWholeIsFoundByTheTrustedHead() {
-        List<AuditEntry> forged = chain("forged");
+    void testCompletelyForgedTrailIsDetectedByTrustedHead() {
+        List<AuditEntry> forged = chainOf("forged");
         AuditTrail trail =
                 new AuditTrail(ChainHead.START, forged, forged.get(ENTRIES - 1).head());
         assertEquals(List.of(), new AuditVerifier().verify(trail, Optional.empty()));
--- a/core/src/test/java/org/jasminehub/core/history/HistoryFixtures.java
+++ b/core/src/test/java/org/jasminehub/core/history/HistoryFixtures.java
@@ -14,7 +14,7 @@
 import org.jasminehub.core.membership.MemberRole;
 import org.jasminehub.core.membership.MemberState;
 
-/** Documents, records, members and a log that forgets, for tests of this package. */
+/** Documents, records, members and an in-memory log for the tests of this package. */
 final class HistoryFixtures {
     static final String INVALID_DOCUMENT = "schemaVersion: 1\nteam: drafts\nworkspaces: []\n";
     static final int PAGE_RECORDS = 3;
@@ -52,7 +52,7 @@
                 List.of());
     }
 
-    /** A log in memory that drops records from its start when told to. */
+    /** An in-memory log that can drop its oldest records. */
     static final class Log {
         private final HistoryRecordCodec codec = new HistoryRecordCodec();
         private final List<byte[]> payloads = new ArrayList<>();
@@ -89,35 +89,35 @@
 
         List<OffsetRecord> records(long from, int count) {
             List<OffsetRecord> records = new ArrayList<>();
-            for (long at = Math.max(from, firstOffset); at < nextOffset() && records.size() < count; at++) {
-                records.add(new OffsetRecord(at, payload(at)));
+            for (long offset = Math.max(from, firstOffset); offset < nextOffset() && records.size() < count; offset++) {
+                records.add(new OffsetRecord(offset, payload(offset)));
             }
             return records;
         }
 
-        /** Returns every record ever appended, dropped or not. */
+        /** Returns all records ever appended, including dropped ones. */
         List<OffsetRecord> allRecords() {
             return IntStream.range(0, payloads.size())
-                    .mapToObj(at -> new OffsetRecord(at, payloads.get(at)))
+                    .mapToObj(offset -> new OffsetRecord(offset, payloads.get(offset)))
                     .toList();
         }
 
-        /** Lets {@code replay} read one page and returns what it decided. */
+        /** Applies one page to {@code replay} and returns the resulting events. */
         List<HistoryEvent> readPage(HistoryReplay replay, int pageRecords) {
             return replay.applyLogPage(firstOffset, records(replay.nextOffset(), pageRecords));
         }
 
-        /** Lets {@code replay} read to the end and returns all that it decided. */
+        /** Applies all pages up to the end to {@code replay} and returns the resulting events. */
         List<HistoryEvent> readAll(HistoryReplay replay) {
             List<HistoryEvent> events = new ArrayList<>(readPage(replay, PAGE_RECORDS));
             for (int pages = 0; replay.nextOffset() < nextOffset(); pages++) {
-                assertTrue(pages < MAX_PAGES, "the replay makes no headway");
+                assertTrue(pages < MAX_PAGES, "the replay makes no progress");
                 events.addAll(readPage(replay, PAGE_RECORDS));
             }
             return events;
         }
 
-        /** Returns a replay of every record ever appended, dropped or not. */
+        /** Returns a replay of all records ever appended, including dropped ones. */
         HistoryReplay replayAllFromStart() {
             HistoryReplay replay = newReplay();
             replay.applyLogPage(0, allRecords());
--- a/core/src/test/java/org/jasminehub/core/history/HistoryReplayPropertyTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/HistoryReplayPropertyTest.java
@@ -15,14 +15,17 @@
 import net.jqwik.api.Property;
 import org.jasminehub.core.identity.TeamId;
 
-/** Random histories with races, stale and broken snapshots, repeats and garbage, against the rule itself. */
+/**
+ * Compares the replay with a direct implementation of the acceptance rule, on random logs that contain concurrent
+ * publishes, outdated and incomplete snapshots, duplicates and invalid records.
+ */
 final class HistoryReplayPropertyTest {
     private static final List<String> TEAMS = List.of("drafts", "payments", "tides");
     private static final int STEPS = 30;
 
     private record Request(String team, long base) {}
 
-    /** A random log, with the rule applied to it in the plainest way. */
+    /** A random log and the versions that a direct implementation of the rule accepts from it. */
     private static final class History {
         private final Random random;
         private final HistoryFixtures.Log log = new HistoryFixtures.Log();
@@ -34,26 +37,26 @@
         History(long seed) {
             random = new Random(seed);
             for (int step = 0; step < STEPS; step++) {
-                appendAny(step);
+                appendRandomRecord(step);
                 log.readAll(writer);
                 states.add(writer.state());
             }
         }
 
-        private void appendAny(int step) {
+        private void appendRandomRecord(int step) {
             switch (random.nextInt(8)) {
                 case 0 -> log.append("{garbage");
                 case 1 -> appendSnapshot(step, true);
                 case 2 -> appendSnapshot(step, random.nextBoolean());
-                case 3 -> repeatEarlierRecord();
+                case 3 -> appendDuplicate();
                 default -> appendPublish(step);
             }
         }
 
         private void appendPublish(int step) {
             String team = TEAMS.get(random.nextInt(TEAMS.size()));
-            long inForce = versions.getOrDefault(team, NO_VERSION);
-            long base = random.nextInt(3) == 0 ? random.nextInt(STEPS) - 1 : inForce;
+            long versionInForce = versions.getOrDefault(team, NO_VERSION);
+            long base = random.nextInt(3) == 0 ? random.nextInt(STEPS) - 1 : versionInForce;
             boolean valid = random.nextInt(6) > 0;
             String nonce = "nonce-" + step;
             long offset =
@@ -70,21 +73,21 @@
             }
         }
 
-        private void appendSnapshot(int step, boolean whole) {
+        private void appendSnapshot(int step, boolean complete) {
             HistoryState state = states.isEmpty() || random.nextBoolean()
                     ? writer.state()
                     : states.get(random.nextInt(states.size()));
             List<SnapshotRecord> parts = new SnapshotSplitter(1).split(state, "round-" + step, "entry-1", 0);
-            parts.subList(0, whole ? parts.size() : parts.size() - 1).forEach(log::append);
+            parts.subList(0, complete ? parts.size() : parts.size() - 1).forEach(log::append);
         }
 
-        private void repeatEarlierRecord() {
+        private void appendDuplicate() {
             if (log.nextOffset() > 0) {
-                long repeated = random.nextInt((int) log.nextOffset());
-                long offset = log.append(log.payload(repeated));
-                if (publishes.containsKey(repeated)) {
-                    publishes.put(offset, publishes.get(repeated));
-                    decide(offset, publishes.get(repeated));
+                long duplicated = random.nextInt((int) log.nextOffset());
+                long offset = log.append(log.payload(duplicated));
+                if (publishes.containsKey(duplicated)) {
+                    publishes.put(offset, publishes.get(duplicated));
+                    decide(offset, publishes.get(duplicated));
                 }
             }
         }
@@ -99,13 +102,13 @@
     }
 
     @Property(seed = "41", tries = 100)
-    void testReplayFromTheFirstRecordFollowsTheRule(@ForAll long seed) {
+    void testReplayFromFirstRecordFollowsTheRule(@ForAll long seed) {
         History history = new History(seed);
         history.assertMatches(history.log.replayAll());
     }
 
     @Property(seed = "42", tries = 100)
-    void testEveryStartAfterTruncationGivesTheSameStateOrDecidesNothing(@ForAll long seed) {
+    void testReplayAfterTruncationReachesSameStateOrDecidesNothing(@ForAll long seed) {
         History history = new History(seed);
         for (long first = 1; first < history.log.nextOffset(); first += 3) {
             history.log.dropBelow(first);
@@ -120,7 +123,7 @@
     }
 
     @Property(seed = "43", tries = 100)
-    void testEveryPeersStateIsALegalStart(@ForAll long seed) {
+    void testReplayFromAnyPeerStateReachesSameState(@ForAll long seed) {
         History history = new History(seed);
         for (HistoryState state : history.states) {
             HistoryReplay replay = newReplay();
@@ -131,13 +134,13 @@
     }
 
     @Property(seed = "44", tries = 100)
-    void testVersionsOnlyGrowThroughOutagesRepeatsAndPeers(@ForAll long seed) {
+    void testVersionsNeverDecreaseDuringTruncationAndPeerRepair(@ForAll long seed) {
         History history = new History(seed);
         Random random = new Random(seed);
         HistoryReplay replay = newReplay();
         Map<String, Long> seen = new HashMap<>();
         for (int step = 0; step < STEPS; step++) {
-            disturb(history, replay, random);
+            applyRandomStep(history, replay, random);
             for (String team : TEAMS) {
                 long version = replay.state().version(new TeamId(team));
                 assertTrue(version >= seen.getOrDefault(team, NO_VERSION), team);
@@ -149,7 +152,7 @@
         assertTrue(replay.isComplete());
     }
 
-    private static void disturb(History history, HistoryReplay replay, Random random) {
+    private static void applyRandomStep(History history, HistoryReplay replay, Random random) {
         int anyOffset = random.nextInt((int) history.log.nextOffset());
         switch (random.nextInt(5)) {
             case 0 -> history.log.dropBelow(anyOffset / 2);
--- a/core/src/test/java/org/jasminehub/core/history/HistoryReplayTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/HistoryReplayTest.java
@@ -17,7 +17,7 @@
     private final HistoryFixtures.Log log = new HistoryFixtures.Log();
     private final HistoryReplay replay = newReplay();
 
-    private static <T extends HistoryEvent> T only(List<HistoryEvent> events, Class<T> type) {
+    private static <T extends HistoryEvent> T assertSingle(List<HistoryEvent> events, Class<T> type) {
         List<T> found = events.stream().filter(type::isInstance).map(type::cast).toList();
         assertEquals(1, found.size(), () -> "of " + type.getSimpleName() + " in " + events);
         return found.get(0);
@@ -28,7 +28,7 @@
     }
 
     @Nested
-    final class Deciding {
+    final class Decisions {
         @Test
         void testVersionInForceIsTheOffsetOfTheAcceptedRecord() {
             log.append("{\"type\":\"lease\"}");
@@ -38,10 +38,11 @@
         }
 
         @Test
-        void testOneOfTwoPublishesOnTheSameBaseIsAcceptedAndTheOtherLearnsTheWinner() {
+        void testSecondPublishOnSameBaseConflictsAndNamesTheWinner() {
             long offset = log.append(publish("drafts", NO_VERSION, "a"));
             log.append(publish("drafts", NO_VERSION, "b"));
-            HistoryEvent.PublishConflicted conflict = only(log.readAll(replay), HistoryEvent.PublishConflicted.class);
+            HistoryEvent.PublishConflicted conflict =
+                    assertSingle(log.readAll(replay), HistoryEvent.PublishConflicted.class);
             assertEquals(offset, conflict.versionInForce());
             assertEquals("operator-of-a", conflict.winner());
             assertEquals("b", conflict.nonce());
@@ -53,7 +54,7 @@
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             long second = log.append(publish("drafts", first, "b"));
             log.append(publish("drafts", first, "late"));
-            only(log.readAll(replay), HistoryEvent.PublishConflicted.class);
+            assertSingle(log.readAll(replay), HistoryEvent.PublishConflicted.class);
             assertEquals(second, version(replay, "drafts"));
         }
 
@@ -62,14 +63,14 @@
             PublishRecord record = publish("drafts", NO_VERSION, "a");
             long first = log.append(record);
             log.append(record);
-            only(log.readAll(replay), HistoryEvent.DocumentAccepted.class);
+            assertSingle(log.readAll(replay), HistoryEvent.DocumentAccepted.class);
             assertEquals(first, version(replay, "drafts"));
         }
 
         @Test
-        void testDocumentThatDoesNotPassTheSchemaIsARecordedRejection() {
+        void testDocumentThatViolatesTheSchemaIsRejected() {
             log.append(invalidPublish("drafts", NO_VERSION, "a"));
-            only(log.readAll(replay), HistoryEvent.PublishRejected.class);
+            assertSingle(log.readAll(replay), HistoryEvent.PublishRejected.class);
             assertEquals(NO_VERSION, version(replay, "drafts"));
         }
 
@@ -77,11 +78,11 @@
         void testDocumentOfAnotherTeamIsRejected() {
             String text = HistoryFixtures.document("payments", 1);
             log.append(new PublishRecord("drafts", NO_VERSION, "a", "ana", "test", 0, text));
-            only(log.readAll(replay), HistoryEvent.PublishRejected.class);
+            assertSingle(log.readAll(replay), HistoryEvent.PublishRejected.class);
         }
 
         @Test
-        void testBytesThatAreNoRecordAreRecordedAndSkipped() {
+        void testInvalidRecordsAreReportedAndSkipped() {
             log.append("\u0000\u0001{not json");
             log.append("{\"type\":\"publish\",\"team\":\"\"}");
             long offset = log.append(publish("drafts", NO_VERSION, "a"));
@@ -93,7 +94,7 @@
         }
 
         @Test
-        void testRecordsReadTwiceOrOutOfOrderChangeNothing() {
+        void testDuplicateAndOutOfOrderRecordsAreIgnored() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             long second = log.append(publish("drafts", first, "b"));
             assertEquals(List.of(), replay.applyPeerRecords(log.records(second, 1)));
@@ -107,18 +108,18 @@
     @Nested
     final class StartAfterTruncation {
         @Test
-        void testWithoutSnapshotNothingIsDecided() {
+        void testNothingIsDecidedWithoutSnapshot() {
             log.append(publish("drafts", NO_VERSION, "dropped"));
             log.append(publish("drafts", NO_VERSION, "b"));
             log.dropBelow(1);
             List<HistoryEvent> events = log.readAll(replay);
-            only(events, HistoryEvent.HistoryGapFound.class);
+            assertSingle(events, HistoryEvent.HistoryGapFound.class);
             assertFalse(replay.isComplete());
             assertFalse(has(events, HistoryEvent.DocumentAccepted.class));
         }
 
         @Test
-        void testSnapshotThatDoesNotReachTheFirstReadableOffsetIsNotUsed() {
+        void testSnapshotThatEndsBeforeFirstReadableOffsetIsNotUsed() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             HistoryState stale = log.replayAll().state();
             log.append(publish("drafts", first, "dropped"));
@@ -130,7 +131,7 @@
         }
 
         @Test
-        void testPublishBetweenSnapshotsStateAndItsRecordIsNotLost() {
+        void testPublishBetweenSnapshotStateAndSnapshotRecordIsApplied() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             HistoryState stale = log.replayAll().state();
             long second = log.append(publish("drafts", first, "b"));
@@ -142,7 +143,7 @@
         }
 
         @Test
-        void testSnapshotThatLacksAPartIsNotUsed() {
+        void testIncompleteSnapshotIsNotUsed() {
             log.append(publish("drafts", NO_VERSION, "a"));
             log.append(publish("payments", NO_VERSION, "b"));
             HistoryState state = log.replayAll().state();
@@ -154,7 +155,7 @@
         }
 
         @Test
-        void testTwoWritersAtOnceDoNoHarm() {
+        void testInterleavedSnapshotsOfTwoWritersAreUsable() {
             log.append(publish("drafts", NO_VERSION, "a"));
             log.append(publish("payments", NO_VERSION, "b"));
             HistoryState state = log.replayAll().state();
@@ -175,7 +176,7 @@
     @Nested
     final class Outage {
         @Test
-        void testShorterThanRetentionLosesNothing() {
+        void testOutageShorterThanRetentionMissesNoRecord() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             long second = log.append(publish("drafts", first, "b"));
@@ -186,7 +187,7 @@
         }
 
         @Test
-        void testLongerThanRetentionKeepsWhatIsInForceAndDecidesNothing() {
+        void testOutageLongerThanRetentionKeepsDocumentsAndDecidesNothing() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             long dropped = log.append(publish("drafts", first, "dropped"));
@@ -200,7 +201,7 @@
         }
 
         @Test
-        void testLongerThanRetentionIsMendedByAnotherInstancesSnapshot() {
+        void testSnapshotOfAnotherInstanceClosesTheGap() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             long second = log.append(publish("drafts", first, "b"));
@@ -214,7 +215,7 @@
         }
 
         @Test
-        void testEmptyLogWhoseEndIsKnownIsNoGap() {
+        void testDroppedRecordsThatWereReadAreNoGap() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             log.dropBelow(first + 1);
@@ -224,9 +225,9 @@
     }
 
     @Nested
-    final class TakingOver {
+    final class StatesAndRecordsFromPeers {
         @Test
-        void testPeersOlderStateChangesNothing() {
+        void testOlderStateOfPeerIsIgnored() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             HistoryState older = log.replayAll().state();
             long second = log.append(publish("drafts", first, "b"));
@@ -241,12 +242,12 @@
             HistoryState older = log.replayAll().state();
             long second = log.append(publish("drafts", first, "b"));
             log.readAll(replay);
-            only(replay.install(older.withCompleteTo(9), "entry-2"), HistoryEvent.SnapshotRefused.class);
+            assertSingle(replay.install(older.withCompleteTo(9), "entry-2"), HistoryEvent.SnapshotRefused.class);
             assertEquals(second, version(replay, "drafts"));
         }
 
         @Test
-        void testSnapshotWithAVersionThatNobodyAcceptedIsNamed() {
+        void testSnapshotWithUnacceptedVersionIsRefused() {
             log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             HistoryFixtures.Log forged = new HistoryFixtures.Log();
@@ -254,12 +255,12 @@
             forged.append(publish("drafts", NO_VERSION, "forged"));
             log.append("{\"type\":\"lease\"}");
             log.appendSnapshot(forged.replayAll().state(), "round");
-            only(log.readAll(replay), HistoryEvent.SnapshotRefused.class);
+            assertSingle(log.readAll(replay), HistoryEvent.SnapshotRefused.class);
             assertEquals(0, version(replay, "drafts"));
         }
 
         @Test
-        void testPeersRecordsFillThePlaceOfDroppedOnes() {
+        void testRecordsFromPeerReplaceDroppedRecords() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             log.readAll(replay);
             long second = log.append(publish("drafts", first, "b"));
@@ -275,7 +276,7 @@
         }
 
         @Test
-        void testReaderAfterTruncationStartsFromAPeersState() {
+        void testReplayAfterTruncationContinuesFromPeerState() {
             long first = log.append(publish("drafts", NO_VERSION, "a"));
             HistoryReplay peer = log.replayAll();
             log.dropBelow(1);
--- a/core/src/test/java/org/jasminehub/core/history/PublishSettlementTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/PublishOutcomeTrackerTest.java
@@ -7,81 +7,81 @@
 
 import org.junit.jupiter.api.Test;
 
-final class PublishSettlementTest {
+final class PublishOutcomeTrackerTest {
     private final HistoryFixtures.Log log = new HistoryFixtures.Log();
     private final HistoryReplay replay = newReplay();
-    private final PublishRecord mine = publish("drafts", NO_VERSION, "mine");
-    private final PublishSettlement settlement = new PublishSettlement(mine);
+    private final PublishRecord ownPublish = publish("drafts", NO_VERSION, "mine");
+    private final PublishOutcomeTracker tracker = new PublishOutcomeTracker(ownPublish);
 
-    private PublishOutcome readAndSettle() {
-        settlement.observe(log.readAll(replay));
-        return settlement.outcome(replay);
+    private PublishOutcome readAndGetOutcome() {
+        tracker.observe(log.readAll(replay));
+        return tracker.outcome(replay);
     }
 
     @Test
-    void testRecordThatIsNotThereYetIsNotYetKnown() {
-        assertEquals(new PublishOutcome.NotYetKnown(0), readAndSettle());
+    void testOutcomeIsNotYetKnownBeforeRecordIsRead() {
+        assertEquals(new PublishOutcome.NotYetKnown(0), readAndGetOutcome());
     }
 
     @Test
-    void testLostAnswerToAnAppendThatTookEffectIsAccepted() {
-        readAndSettle();
-        long offset = log.append(mine);
-        assertEquals(new PublishOutcome.Accepted(offset), readAndSettle());
+    void testPublishIsAcceptedAlthoughAppendResponseWasLost() {
+        readAndGetOutcome();
+        long offset = log.append(ownPublish);
+        assertEquals(new PublishOutcome.Accepted(offset), readAndGetOutcome());
     }
 
     @Test
-    void testAcceptedStaysAcceptedAfterItWasReplacedAndRepeated() {
-        long offset = log.append(mine);
+    void testAcceptedPublishStaysAcceptedAfterReplacementAndDuplicate() {
+        long offset = log.append(ownPublish);
         log.append(publish("drafts", offset, "next"));
-        log.append(mine);
-        assertEquals(new PublishOutcome.Accepted(offset), readAndSettle());
+        log.append(ownPublish);
+        assertEquals(new PublishOutcome.Accepted(offset), readAndGetOutcome());
     }
 
     @Test
     void testLostRaceNamesTheWinner() {
         long offset = log.append(publish("drafts", NO_VERSION, "other"));
-        log.append(mine);
-        assertEquals(new PublishOutcome.Conflicted(offset, "operator-of-other"), readAndSettle());
+        log.append(ownPublish);
+        assertEquals(new PublishOutcome.Conflicted(offset, "operator-of-other"), readAndGetOutcome());
     }
 
     @Test
-    void testRecordThatNeverArrivedIsSettledOnceItsBaseIsTaken() {
+    void testMissingRecordConflictsOnceItsBaseIsReplaced() {
         long offset = log.append(publish("drafts", NO_VERSION, "other"));
-        assertEquals(new PublishOutcome.Conflicted(offset, "operator-of-other"), readAndSettle());
+        assertEquals(new PublishOutcome.Conflicted(offset, "operator-of-other"), readAndGetOutcome());
     }
 
     @Test
-    void testBaseOfATeamWithoutDocumentIsAConflict() {
-        PublishSettlement wrongBase = new PublishSettlement(publish("drafts", 7, "mine"));
+    void testBaseVersionOfTeamWithoutDocumentConflicts() {
+        PublishOutcomeTracker wrongBase = new PublishOutcomeTracker(publish("drafts", 7, "mine"));
         assertEquals(new PublishOutcome.Conflicted(NO_VERSION, ""), wrongBase.outcome(replay));
     }
 
     @Test
-    void testDocumentThatDoesNotPassTheSchemaIsRejected() {
+    void testDocumentThatViolatesTheSchemaIsRejected() {
         log.append(HistoryFixtures.invalidPublish("drafts", NO_VERSION, "mine"));
-        assertEquals(PublishOutcome.Rejected.class, readAndSettle().getClass());
+        assertEquals(PublishOutcome.Rejected.class, readAndGetOutcome().getClass());
     }
 
     @Test
-    void testDroppedRecordIsSettledByTheSnapshotWhereItCanBe() {
-        readAndSettle();
-        long offset = log.append(mine);
+    void testSnapshotDeterminesOutcomeOfDroppedRecord() {
+        readAndGetOutcome();
+        long offset = log.append(ownPublish);
         HistoryState state = log.replayAll().state();
         log.dropBelow(offset + 1);
         log.append("{\"type\":\"lease\"}");
-        assertEquals(new PublishOutcome.NotYetKnown(2), readAndSettle());
+        assertEquals(new PublishOutcome.NotYetKnown(2), readAndGetOutcome());
         log.appendSnapshot(state, "round");
-        assertEquals(new PublishOutcome.Accepted(offset), readAndSettle());
+        assertEquals(new PublishOutcome.Accepted(offset), readAndGetOutcome());
     }
 
     @Test
     void testDroppedRecordThatMayHaveBeenReplacedIsUntraceable() {
-        readAndSettle();
-        long offset = log.append(mine);
+        readAndGetOutcome();
+        long offset = log.append(ownPublish);
         long next = log.append(publish("drafts", offset, "next"));
         log.dropBelow(next + 1);
         log.appendSnapshot(log.replayAllFromStart().state(), "round");
-        assertEquals(new PublishOutcome.Untraceable(next), readAndSettle());
+        assertEquals(new PublishOutcome.Untraceable(next), readAndGetOutcome());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/history/SpreadPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/RecordSourcePolicyTest.java
@@ -20,12 +20,12 @@
 import org.jasminehub.core.membership.Member;
 import org.junit.jupiter.api.Test;
 
-final class SpreadPolicyTest {
+final class RecordSourcePolicyTest {
     private static final int READERS = 2;
     private static final int FAN_OUT = 3;
     private static final FailureDomain DOMAIN = new FailureDomain("domain-0");
 
-    private final SpreadPolicy policy = new SpreadPolicy(READERS, FAN_OUT);
+    private final RecordSourcePolicy policy = new RecordSourcePolicy(READERS, FAN_OUT);
 
     private static List<Member> inOneDomain(int count) {
         return IntStream.range(0, count)
@@ -41,21 +41,21 @@
 
     @Test
     void testReadersAndFanOutAreBounded() {
-        Map<InstanceId, Integer> askers = new HashMap<>();
+        Map<InstanceId, Integer> clientCounts = new HashMap<>();
         int readers = 0;
         for (RecordSource source : sources(inOneDomain(177)).values()) {
             if (source instanceof RecordSource.Peer peer) {
-                askers.merge(peer.member().id(), 1, Integer::sum);
+                clientCounts.merge(peer.member().id(), 1, Integer::sum);
             } else {
                 readers++;
             }
         }
         assertEquals(READERS, readers);
-        assertTrue(askers.values().stream().allMatch(count -> count <= FAN_OUT));
+        assertTrue(clientCounts.values().stream().allMatch(count -> count <= FAN_OUT));
     }
 
     @Test
-    void testHopsMatchTheLongestWayToTheLog() {
+    void testHopsMatchTheLongestPathToTheLog() {
         Map<InstanceId, RecordSource> sources = sources(inOneDomain(177));
         int longest = 0;
         for (RecordSource source : sources.values()) {
@@ -70,23 +70,23 @@
     }
 
     @Test
-    void testInstanceThatReachesNobodyReadsTheLog() {
+    void testInstanceWithoutReachableMembersReadsTheLog() {
         assertEquals(new RecordSource.Log(), policy.source(new InstanceId("entry-1"), DOMAIN, List.of()));
     }
 
     @Test
-    void testAlternatesSpanFailureDomains() {
+    void testFallbackPeersSpanFailureDomains() {
         List<Member> members = IntStream.range(0, 9)
                 .mapToObj(i -> HistoryFixtures.entry(i, "domain-" + i % 3))
                 .toList();
-        List<Member> chosen = policy.alternates(new InstanceId("entry-0"), DOMAIN, members, 3);
-        assertEquals(DOMAIN, chosen.get(0).failureDomain());
-        assertEquals(3, chosen.stream().map(Member::failureDomain).distinct().count());
-        assertFalse(chosen.stream().anyMatch(member -> member.id().equals(new InstanceId("entry-0"))));
+        List<Member> peers = policy.fallbackPeers(new InstanceId("entry-0"), DOMAIN, members, 3);
+        assertEquals(DOMAIN, peers.get(0).failureDomain());
+        assertEquals(3, peers.stream().map(Member::failureDomain).distinct().count());
+        assertFalse(peers.stream().anyMatch(member -> member.id().equals(new InstanceId("entry-0"))));
     }
 
     @Property(seed = "45", tries = 200)
-    void testInstancesWithDifferentViewsNeverAskInACircle(@ForAll long seed) {
+    void testInstancesWithDifferentViewsNeverFormACycle(@ForAll long seed) {
         Random random = new Random(seed);
         List<Member> all = inOneDomain(30);
         Map<InstanceId, RecordSource> sources = new HashMap<>();
@@ -96,10 +96,10 @@
             sources.put(member.id(), policy.source(member.id(), DOMAIN, view.subList(0, 5 + random.nextInt(25))));
         }
         for (Member member : all) {
-            Set<InstanceId> met = new HashSet<>();
+            Set<InstanceId> visited = new HashSet<>();
             RecordSource source = sources.get(member.id());
             while (source instanceof RecordSource.Peer peer) {
-                assertTrue(met.add(peer.member().id()));
+                assertTrue(visited.add(peer.member().id()));
                 source = sources.get(peer.member().id());
             }
         }
--- a/core/src/test/java/org/jasminehub/core/history/RepairPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/RepairPolicyTest.java
@@ -27,43 +27,43 @@
         log.records(0, RECORDS).forEach(buffer::add);
     }
 
-    private RepairAnswer answer(long fromOffset) {
+    private RepairReply replyTo(long fromOffset) {
         return policy.answer(fromOffset, 100, replay.state(), buffer);
     }
 
     @Test
-    void testPeerThatLagsALittleGetsRecordsUpToTheLimit() {
-        RepairAnswer.Records records = (RepairAnswer.Records) answer(RECORDS - 5);
+    void testSlightlyLaggingPeerGetsRecordsUpToTheLimit() {
+        RepairReply.Records records = (RepairReply.Records) replyTo(RECORDS - 5);
         assertEquals(
                 List.of(5L, 6L, 7L, 8L),
                 records.records().stream().map(OffsetRecord::offset).toList());
     }
 
     @Test
-    void testPeerWhoseRecordsAreNoLongerHeldGetsTheState() {
-        assertEquals(new RepairAnswer.State(replay.state()), answer(0));
+    void testPeerGetsStateIfMissingRecordsAreNoLongerHeld() {
+        assertEquals(new RepairReply.State(replay.state()), replyTo(0));
     }
 
     @Test
-    void testPeerThatIsLevelOrAheadGetsNothing() {
-        assertEquals(new RepairAnswer.Records(List.of()), answer(RECORDS));
-        assertEquals(new RepairAnswer.Records(List.of()), answer(RECORDS + 5));
+    void testPeerThatIsUpToDateOrAheadGetsNoRecords() {
+        assertEquals(new RepairReply.Records(List.of()), replyTo(RECORDS));
+        assertEquals(new RepairReply.Records(List.of()), replyTo(RECORDS + 5));
     }
 
     @Test
-    void testRecordsFromBeforeATakenOverStateAreNotTakenForAllThereIs() {
+    void testPeerGetsStateIfBufferEndsBeforeInstalledState() {
         replay.install(replay.state().withCompleteTo(500), "entry-2");
-        assertEquals(new RepairAnswer.State(replay.state()), answer(RECORDS - 1));
+        assertEquals(new RepairReply.State(replay.state()), replyTo(RECORDS - 1));
     }
 
     @Test
-    void testPeersMendEachOtherRecordByRecord() {
+    void testLaggingPeerCatchesUpThroughRepairReplies() {
         HistoryReplay lagging = newReplay();
         while (lagging.nextOffset() < RECORDS) {
-            RepairAnswer answer = answer(lagging.nextOffset());
-            if (answer instanceof RepairAnswer.Records records) {
+            RepairReply reply = replyTo(lagging.nextOffset());
+            if (reply instanceof RepairReply.Records records) {
                 lagging.applyPeerRecords(records.records());
-            } else if (answer instanceof RepairAnswer.State state) {
+            } else if (reply instanceof RepairReply.State state) {
                 lagging.install(state.state(), "entry-2");
             }
         }
--- a/core/src/test/java/org/jasminehub/core/history/SnapshotPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/history/SnapshotPolicyTest.java
@@ -24,24 +24,24 @@
     }
 
     @Test
-    void testNobodyWritesWhileTheSnapshotIsYoung() {
+    void testNoInstanceWritesWhileSnapshotIsRecent() {
         assertEquals(List.of(), writers(members, RETENTION_MILLIS / 8));
     }
 
     @Test
-    void testOnlyTheFirstInRankWritesWhenItIsDue() {
+    void testOnlyFirstInstanceWritesWhenSnapshotIsDue() {
         assertEquals(1, writers(members, RETENTION_MILLIS / 4).size());
     }
 
     @Test
-    void testOthersStepInWellInsideRetentionAndFewOfThem() {
+    void testFewOtherInstancesTakeOverWithinHalfOfRetention() {
         int count = writers(members, RETENTION_MILLIS / 2).size();
         assertTrue(count >= 2 && count <= 8, () -> count + " writers");
         assertEquals(count, writers(members, Long.MAX_VALUE).size());
     }
 
     @Test
-    void testWriterThatIsLeavingIsReplaced() {
+    void testLeavingWriterIsReplaced() {
         Member first = writers(members, RETENTION_MILLIS / 4).get(0);
         List<Member> view = members.stream()
                 .map(member -> member.equals(first) ? member.withState(MemberState.LEAVING) : member)
--- a/core/src/test/java/org/jasminehub/core/retry/OutlierPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/retry/OutlierPolicyTest.java
@@ -19,8 +19,8 @@
     private final List<EndpointId> endpoints =
             IntStream.range(0, 12).mapToObj(i -> new EndpointId("text-" + i)).toList();
 
-    /** Notes attempts at every endpoint, of which those at the first {@code failing} fail. */
-    private void attempts(int count, int failing) {
+    /** Records {@code count} attempts at every endpoint; those at the first {@code failing} endpoints fail. */
+    private void recordAttempts(int count, int failing) {
         for (int i = 0; i < endpoints.size(); i++) {
             for (int attempt = 0; attempt < count; attempt++) {
                 policy.record(endpoints.get(i), i >= failing);
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void testFailingEndpointIsLeftOutOnEvidenceAndComesBack() {
-        attempts(4, 1);
+    void testFailingEndpointIsEjectedAfterEnoughAttemptsAndReturns() {
+        recordAttempts(4, 1);
         assertEquals(Set.of(), policy.ejected(endpoints));
-        attempts(1, 1);
+        recordAttempts(1, 1);
         assertEquals(Set.of(endpoints.get(0)), policy.ejected(endpoints));
         assertEquals(List.of(new EndpointEjected("text-0", 5, 5, 5000)), events);
         clock.advanceMillis(5000);
@@ -40,25 +40,25 @@
     }
 
     @Test
-    void testRepeatedEjectionLastsLonger() {
-        attempts(5, 1);
+    void testConsecutiveEjectionLastsLonger() {
+        recordAttempts(5, 1);
         policy.ejected(endpoints);
         clock.advanceMillis(5000);
-        attempts(5, 1);
+        recordAttempts(5, 1);
         policy.ejected(endpoints);
         clock.advanceMillis(9999);
         assertEquals(1, policy.ejected(endpoints).size());
     }
 
     @Test
-    void testNoMoreThanTheBoundedShareIsLeftOut() {
-        attempts(10, 5);
+    void testEjectedShareIsLimited() {
+        recordAttempts(10, 5);
         assertEquals(3, policy.ejected(endpoints).size());
     }
 
     @Test
-    void testFaultOfAllEndpointsLeavesOutNone() {
-        attempts(10, 12);
+    void testFaultOfAllEndpointsEjectsNone() {
+        recordAttempts(10, 12);
         assertTrue(policy.ejected(endpoints).isEmpty());
     }
 }
--- a/core/src/test/java/org/jasminehub/core/retry/RetryPolicyTest.java
+++ b/core/src/test/java/org/jasminehub/core/retry/RetryPolicyTest.java
@@ -39,33 +39,37 @@
     }
 
     @Test
-    void testOnlyCertainlyNotRunOrIdempotentWorkIsRepeated() {
-        RouteKind once = RouteKind.NON_IDEMPOTENT;
-        assertEquals(RetryDecision.AGAIN, decide(once, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000));
-        assertEquals(RetryDecision.MAY_HAVE_RUN, decide(once, 1, ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, 5000));
-        assertEquals(RetryDecision.AGAIN, decide(RouteKind.WHOLE, 1, ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, 5000));
+    void testOnlyNotRunOrIdempotentRequestsAreRetried() {
+        RouteKind nonIdempotent = RouteKind.NON_IDEMPOTENT;
+        assertEquals(
+                RetryDecision.RETRY_ALLOWED, decide(nonIdempotent, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000));
+        assertEquals(
+                RetryDecision.MAY_HAVE_RUN, decide(nonIdempotent, 1, ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, 5000));
+        assertEquals(
+                RetryDecision.RETRY_ALLOWED,
+                decide(RouteKind.WHOLE, 1, ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, 5000));
     }
 
     @Test
-    void testNothingIsRepeatedPastDeadlineAttemptsOrReason() {
+    void testRequestIsNotRetriedBeyondLimitsOrForFinalErrors() {
         RouteKind whole = RouteKind.WHOLE;
-        assertEquals(RetryDecision.DEADLINE, decide(whole, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 100));
-        assertEquals(RetryDecision.ATTEMPTS_USED, decide(whole, 3, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000));
-        assertEquals(RetryDecision.POINTLESS, decide(whole, 1, ErrorCode.LIMIT_EXCEEDED, Outcome.NOT_RUN, 5000));
-        assertEquals(RetryDecision.POINTLESS, decide(whole, 1, ErrorCode.ENDPOINT_FAILED, Outcome.DONE, 5000));
+        assertEquals(RetryDecision.DEADLINE_TOO_CLOSE, decide(whole, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 100));
+        assertEquals(RetryDecision.ATTEMPTS_EXHAUSTED, decide(whole, 3, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000));
+        assertEquals(RetryDecision.NOT_RETRYABLE, decide(whole, 1, ErrorCode.LIMIT_EXCEEDED, Outcome.NOT_RUN, 5000));
+        assertEquals(RetryDecision.NOT_RETRYABLE, decide(whole, 1, ErrorCode.ENDPOINT_FAILED, Outcome.DONE, 5000));
     }
 
     @Test
-    void testAttemptsStayBelowTheStatedFactorWhenEveryEndpointFails() {
+    void testAttemptsStayBelowDocumentedFactorWhenEveryEndpointFails() {
         int requests = 10_000;
         int attempts = 0;
         for (int i = 0; i < requests; i++) {
             FailedAttempt.Subject subject = subject("workspace-" + i % 10, RouteKind.WHOLE);
-            policy.firstAttempt(subject);
+            policy.recordFirstAttempt(subject);
             int made = 1;
             while (policy.decide(
                             new FailedAttempt(subject, made, ErrorCode.ENDPOINT_FAILED, Outcome.NOT_RUN, 5000, 100))
-                    == RetryDecision.AGAIN) {
+                    == RetryDecision.RETRY_ALLOWED) {
                 made++;
             }
             attempts += made;
@@ -74,19 +78,19 @@
     }
 
     @Test
-    void testWorkspaceThatSpentItsBudgetLeavesTheOthersTheirs() {
+    void testExhaustedBudgetDoesNotAffectOtherWorkspaces() {
         FailedAttempt.Subject noisy = subject("noisy", RouteKind.WHOLE);
         for (int i = 0; i < 2 * RESERVE; i++) {
             policy.decide(new FailedAttempt(noisy, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000, 100));
         }
         for (int i = 0; i < 20; i++) {
-            policy.firstAttempt(subject("quiet", RouteKind.WHOLE));
+            policy.recordFirstAttempt(subject("quiet", RouteKind.WHOLE));
         }
         assertEquals(
-                RetryDecision.BUDGET_USED,
+                RetryDecision.BUDGET_EXHAUSTED,
                 policy.decide(new FailedAttempt(noisy, 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000, 100)));
         assertEquals(
-                RetryDecision.AGAIN,
+                RetryDecision.RETRY_ALLOWED,
                 policy.decide(new FailedAttempt(
                         subject("quiet", RouteKind.WHOLE), 1, ErrorCode.OVERLOADED, Outcome.NOT_RUN, 5000, 100)));
     }
--- a/ctl/src/main/java/org/jasminehub/ctl/PublishSession.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/PublishSession.java
@@ -4,8 +4,8 @@
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.history.HistoryReplay;
 import org.jasminehub.core.history.PublishOutcome;
+import org.jasminehub.core.history.PublishOutcomeTracker;
 import org.jasminehub.core.history.PublishRecord;
-import org.jasminehub.core.history.PublishSettlement;
 import org.jasminehub.platform.log.LogPage;
 
 /**
@@ -23,7 +23,7 @@
     private final PublishRecord publish;
     private final long deadlineMillis;
     private final HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
-    private PublishSettlement settlement;
+    private PublishOutcomeTracker settlement;
     private boolean appended;
     private boolean reachedEnd;
 
@@ -31,7 +31,7 @@
     PublishSession(PublishRecord publish, long deadlineMillis) {
         this.publish = publish;
         this.deadlineMillis = deadlineMillis;
-        this.settlement = new PublishSettlement(publish);
+        this.settlement = new PublishOutcomeTracker(publish);
     }
 
     /** Returns what to do at {@code nowMillis}. */
@@ -61,7 +61,7 @@
         if (!(outcome instanceof PublishOutcome.NotYetKnown)) {
             return new PublishAction.Finish(new PublishResult.Settled(outcome));
         }
-        settlement = new PublishSettlement(publish);
+        settlement = new PublishOutcomeTracker(publish);
         return new PublishAction.Append(publish);
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentController.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentController.java
@@ -13,7 +13,7 @@
 import org.jasminehub.core.history.HistoryEvent;
 import org.jasminehub.core.history.HistoryState;
 import org.jasminehub.core.history.RecordSource;
-import org.jasminehub.core.history.SpreadPolicy;
+import org.jasminehub.core.history.RecordSourcePolicy;
 import org.jasminehub.core.identity.InstanceId;
 import org.jasminehub.core.membership.Member;
 import org.jasminehub.core.time.Clock;
@@ -53,7 +53,7 @@
     private final DocumentListener listener;
     private final SnapshotWriter snapshots;
     private final DocumentHistory history = new DocumentHistory();
-    private final SpreadPolicy spread = new SpreadPolicy(READERS_PER_DOMAIN, FAN_OUT);
+    private final RecordSourcePolicy spread = new RecordSourcePolicy(READERS_PER_DOMAIN, FAN_OUT);
     private final Map<InstanceId, Long> suspectedUntilMillis = new HashMap<>();
     private HistoryState published = HistoryState.EMPTY;
     private Currency publishedCurrency = Currency.UNKNOWN;
@@ -136,10 +136,10 @@
     }
 
     private void askAlternate() {
-        List<Member> alternates =
-                spread.alternates(settings.self(), settings.failureDomain(), reachable(), MAX_ALTERNATES);
-        if (!alternates.isEmpty()) {
-            ask(alternates.get(alternatesAsked++ % alternates.size()));
+        List<Member> fallbackPeers =
+                spread.fallbackPeers(settings.self(), settings.failureDomain(), reachable(), MAX_ALTERNATES);
+        if (!fallbackPeers.isEmpty()) {
+            ask(fallbackPeers.get(alternatesAsked++ % fallbackPeers.size()));
         } else if (isAlone()) {
             history.noteAlone(clock.monotonicMillis());
             publish();
@@ -207,7 +207,7 @@
 
     /** Tells whether no other entry instance is known, reachable or not. */
     private boolean isAlone() {
-        return spread.alternates(settings.self(), settings.failureDomain(), members.get(), 1)
+        return spread.fallbackPeers(settings.self(), settings.failureDomain(), members.get(), 1)
                 .isEmpty();
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentHistory.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentHistory.java
@@ -15,8 +15,8 @@
 import org.jasminehub.core.history.HistoryStateFactory;
 import org.jasminehub.core.history.OffsetRecord;
 import org.jasminehub.core.history.RecordBuffer;
-import org.jasminehub.core.history.RepairAnswer;
 import org.jasminehub.core.history.RepairPolicy;
+import org.jasminehub.core.history.RepairReply;
 import org.jasminehub.core.history.SnapshotRecord;
 import org.jasminehub.core.history.SnapshotSplitter;
 import org.jasminehub.platform.log.LogPage;
@@ -61,7 +61,7 @@
     /** Notes that no other instance is known that could have anything newer. */
     void noteAlone(long nowMillis) {
         if (tracker.evidenceAgeMillis(nowMillis) >= 0) {
-            tracker.agreed(nowMillis);
+            tracker.onPeerAgreed(nowMillis);
         }
     }
 
@@ -73,7 +73,7 @@
         List<HistoryEvent> events = replay.applyLogPage(page.firstOffset(), records);
         keep(records);
         if (replay.isComplete() && replay.nextOffset() >= page.nextOffset()) {
-            tracker.caughtUp(askedAtMillis);
+            tracker.onCaughtUp(askedAtMillis);
         }
         return events;
     }
@@ -112,8 +112,8 @@
         RecordsReply.Builder reply = RecordsReply.newBuilder()
                 .setNextOffset(state.completeTo())
                 .setEvidenceAgeMillis(isCurrent ? tracker.evidenceAgeMillis(nowMillis) : -1);
-        RepairAnswer answer = repair.answer(request.getFromOffset(), request.getMaxRecords(), state, buffer);
-        if (answer instanceof RepairAnswer.Records records) {
+        RepairReply answer = repair.answer(request.getFromOffset(), request.getMaxRecords(), state, buffer);
+        if (answer instanceof RepairReply.Records records) {
             records.records().forEach(record -> reply.addRecords(toMessage(record)));
         } else {
             reply.setSnapshot(encode(state));
@@ -123,9 +123,9 @@
 
     private void noteEvidence(RecordsReply reply, long askedAtMillis) {
         if (reply.getEvidenceAgeMillis() >= 0) {
-            tracker.caughtUp(askedAtMillis - reply.getEvidenceAgeMillis());
+            tracker.onCaughtUp(askedAtMillis - reply.getEvidenceAgeMillis());
         } else if (reply.getNextOffset() > 0) {
-            tracker.agreed(askedAtMillis);
+            tracker.onPeerAgreed(askedAtMillis);
         }
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
+++ b/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
@@ -67,7 +67,7 @@
     @Override
     public CompletionStage<Answer> handle(RequestContext context, RequestHandler next) {
         EntryDrain present = drain;
-        if (present != null && !present.takesRequests()) {
+        if (present != null && !present.acceptsRequests()) {
             return CompletableFuture.failedFuture(new RequestException(
                     ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "this instance is leaving; ask for its successors"));
         }
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationAnswerListener.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationAnswerListener.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.jasminehub.core.answer.AnswerAssembler;
-import org.jasminehub.core.answer.AnswerFrame;
 import org.jasminehub.core.answer.DeliveryRule;
 import org.jasminehub.core.answer.FrameDecision;
+import org.jasminehub.core.answer.ResponseAssembler;
+import org.jasminehub.core.answer.ResponseFrame;
 import org.jasminehub.core.document.RouteKind;
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.error.Outcome;
@@ -33,7 +33,7 @@
     private final EndpointLink link;
     private final RequestId requestId;
     private final Consumer<Function<OperationCall, OperationStep>> events;
-    private final AnswerAssembler assembler;
+    private final ResponseAssembler assembler;
     private final AtomicBoolean isEnded = new AtomicBoolean();
     private AnswerHead head = AnswerHead.getDefaultInstance();
 
@@ -42,7 +42,7 @@
         this.link = link;
         this.requestId = requestId;
         this.events = events;
-        this.assembler = new AnswerAssembler(requestId, DeliveryRule.of(RouteKind.NON_IDEMPOTENT), Long.MAX_VALUE);
+        this.assembler = new ResponseAssembler(requestId, DeliveryRule.of(RouteKind.NON_IDEMPOTENT), Long.MAX_VALUE);
         assembler.startAttempt(ATTEMPT);
     }
 
@@ -53,7 +53,7 @@
 
     @Override
     public void onChunk(AnswerChunk chunk) {
-        take(new AnswerFrame.Chunk(
+        onFrame(new ResponseFrame.Chunk(
                 requestId,
                 chunk.getAttempt(),
                 chunk.getSequence(),
@@ -62,7 +62,7 @@
 
     @Override
     public void onEnd(AnswerEnd end) {
-        take(new AnswerFrame.End(requestId, end.getAttempt(), end.getChunks()));
+        onFrame(new ResponseFrame.End(requestId, end.getAttempt(), end.getChunks()));
     }
 
     @Override
@@ -79,8 +79,8 @@
         end(OperationCall::onHomeLost);
     }
 
-    private void take(AnswerFrame frame) {
-        FrameDecision decision = assembler.take(frame);
+    private void onFrame(ResponseFrame frame) {
+        FrameDecision decision = assembler.onFrame(frame);
         if (decision instanceof FrameDecision.Complete complete) {
             OperationResult result = new OperationResult(head.getStatus(), contentType(), join(complete.data()));
             end(call -> call.onAnswer(new GuardDecision.Answered(OperationAnswer.done(result))));
--- a/entry/src/main/java/org/jasminehub/entry/relay/RelaySession.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/RelaySession.java
@@ -61,7 +61,7 @@
 
     /** Returns the first attempt whose head arrives. */
     CompletionStage<Attempt> begin() {
-        retries.firstAttempt(subject());
+        retries.recordFirstAttempt(subject());
         return attempt(0);
     }
 
@@ -112,7 +112,7 @@
     private CompletionStage<Attempt> retryAfter(RequestException failure, int resumeFromChunk) {
         RetryDecision decision = retries.decide(
                 new FailedAttempt(subject(), tried.size(), failure.code(), failure.outcome(), remainingMillis(), 0));
-        if (decision != RetryDecision.AGAIN) {
+        if (decision != RetryDecision.RETRY_ALLOWED) {
             return CompletableFuture.failedFuture(failure);
         }
         events.emit(new AttemptRetried(
