--- a/entry/src/main/java/org/jasminehub/entry/EntryInstance.java
+++ b/entry/src/main/java/org/jasminehub/entry/EntryInstance.java
@@ -39,7 +39,7 @@
 import org.jasminehub.wire.generated.Hello;
 
 /**
- * One entry instance: takes callers' requests and sends them to endpoints through their agents.
+ * An entry instance: accepts requests from callers and forwards them to endpoints through their agents.
  *
  * <pre>{@code
  * try (EntryInstance entry = new EntryInstance(settings, system, group, ids, clock, events, metrics)) {
@@ -56,8 +56,10 @@
     private static final long LOG_RETENTION_MILLIS = 86_400_000;
     private static final long RECORDS_INTERVAL_MILLIS = 1_000;
     private static final long LOG_RETRY_INTERVAL_MILLIS = 250;
-    private static final long HOME_ROUND_MILLIS = 500;
+    private static final long HOME_TABLE_INTERVAL_MILLIS = 500;
+    /** How long other instances may still list this instance after it announced that it is leaving. */
     private static final long LIST_LAG_MILLIS = 3_000;
+
     private static final long MAX_DRAIN_MILLIS = 900_000;
 
     private final EntrySettings settings;
@@ -72,7 +74,17 @@
     private final WireServer wireServer;
     private final CallerServer callerServer;
 
-    /** Starts an entry instance; {@code ids} names each request, its incarnation is the clock's wall time. */
+    /**
+     * Starts an entry instance. Its incarnation is the clock's wall time at the start.
+     *
+     * @param settings the settings of this instance
+     * @param system the actor system that runs the HTTP server and clients
+     * @param group the I/O threads of the connections to other processes
+     * @param ids supplies a unique id for each request and for each snapshot of the documents
+     * @param clock the clock
+     * @param events receives the events of this instance
+     * @param metrics the registry for the metrics of requests
+     */
     public EntryInstance(
             EntrySettings settings,
             ActorSystem<?> system,
@@ -130,34 +142,34 @@
         return wireServer.port();
     }
 
-    /** Returns what it knows now. */
+    /** Returns the current documents and members. */
     public ControlState state() {
         return control.state();
     }
 
-    /** Returns whether it has learnt documents and instances and can serve. */
+    /** Returns whether this instance can serve: its documents are up to date and it knows at least one member. */
     public boolean isReady() {
         return state().isCurrent() && !state().members().isEmpty();
     }
 
-    /** Returns its connections to agents. */
+    /** Returns the connections to agents. */
     public EndpointDirectory directory() {
         return directory;
     }
 
-    /** Returns the homes of operation keys that it knows. */
+    /** Returns the controller of the home tables of operation keys. */
     public HomeTableController homes() {
         return homes;
     }
 
-    /** Begins a planned stop and says so to its peers; the stage completes when nothing is left to serve. */
+    /** Starts draining and notifies the peers. The returned stage completes when this instance may stop. */
     public CompletionStage<Void> drain() {
         CompletionStage<Void> stopped = drain.begin();
         control.execute(wireServer::broadcastHello);
         return stopped;
     }
 
-    /** Stops at once; requests that run are cut. */
+    /** Stops immediately and aborts running requests. */
     @Override
     public void close() {
         control.close();
@@ -186,11 +198,11 @@
     }
 
     private void startControllers(DocumentController documents) {
-        control.repeat(membership::refresh, settings.listIntervalMillis());
-        control.repeat(membership::beat, HEARTBEAT_INTERVAL_MILLIS);
-        control.repeat(documents::refresh, RECORDS_INTERVAL_MILLIS);
-        control.repeat(homes::refresh, LOG_RETRY_INTERVAL_MILLIS);
-        control.repeat(homes::keep, HOME_ROUND_MILLIS);
+        control.runPeriodically(membership::refresh, settings.listIntervalMillis());
+        control.runPeriodically(membership::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
+        control.runPeriodically(documents::refresh, RECORDS_INTERVAL_MILLIS);
+        control.runPeriodically(homes::refresh, LOG_RETRY_INTERVAL_MILLIS);
+        control.runPeriodically(homes::coordinate, HOME_TABLE_INTERVAL_MILLIS);
     }
 
     private MembershipController newMembership(ActorSystem<?> system, Clock clock, EventSink events) {
--- a/entry/src/main/java/org/jasminehub/entry/EntrySettings.java
+++ b/entry/src/main/java/org/jasminehub/entry/EntrySettings.java
@@ -4,19 +4,19 @@
 import org.jasminehub.platform.http.Address;
 
 /**
- * The settings of one entry instance, as its settings file holds them.
+ * The settings of one entry instance, as read from its settings file.
  *
- * @param instance the instance's name
- * @param failureDomain the set of instances it tends to fail with
- * @param host the IP address it listens on
- * @param callerPort the port for callers, 0 for a free one
- * @param wirePort the port for other processes of the system, 0 for a free one
- * @param operationsPort the port of metrics and health, 0 for a free one
- * @param log where the platform's log listens
- * @param instanceList where the platform's list of instances listens
- * @param listIntervalMillis how often the list is read
- * @param addressTtlMillis how long callers may keep an address list
- * @param maxBodyBytes the largest request body that is taken
+ * @param instance the name of the instance
+ * @param failureDomain the failure domain of the instance: the set of instances that are likely to fail together
+ * @param host the IP address that the servers of the instance listen on
+ * @param callerPort the port for callers, or 0 to use any free port
+ * @param wirePort the port for other processes of the system, or 0 to use any free port
+ * @param operationsPort the port for metrics and health checks, or 0 to use any free port
+ * @param log the address of the platform's log service
+ * @param instanceList the address of the platform's instance list service
+ * @param listIntervalMillis the interval between reads of the instance list
+ * @param addressTtlMillis how long callers may cache an address list
+ * @param maxBodyBytes the maximum size of a request body
  */
 public record EntrySettings(
         String instance,
@@ -36,7 +36,7 @@
     private static final int MAX_TTL_MILLIS = 600_000;
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-    /** Creates checked settings. */
+    /** Creates the settings after checking their ranges. */
     public EntrySettings {
         Checks.notBlank("instance", instance);
         Checks.notBlank("failureDomain", failureDomain);
--- a/entry/src/main/java/org/jasminehub/entry/RequestChainFactory.java
+++ b/entry/src/main/java/org/jasminehub/entry/RequestChainFactory.java
@@ -27,9 +27,9 @@
 import org.jasminehub.entry.filter.operation.OperationFilter;
 import org.jasminehub.entry.relay.RelayHandler;
 
-/** Builds the chain of filters that every request passes. Used by one thread. */
+/** Builds the filter chain that processes every request. Not thread-safe. */
 final class RequestChainFactory {
-    private static final double ACROSS_DOMAINS_MILLIS = 1.5;
+    private static final double CROSS_DOMAIN_DELAY_MILLIS = 1.5;
     private static final double REPORT_HALF_LIFE_MILLIS = 2_000;
     private static final int SAMPLED_ENDPOINTS = 2;
 
@@ -61,7 +61,10 @@
         this.metrics = metrics;
     }
 
-    /** Returns the chain; operations stand before all that may refuse, so that every "not run" is proved. */
+    /**
+     * Returns the filter chain. The operation filter precedes every filter that can refuse a request, so that it can
+     * confirm the outcome "not run" of each refusal with the home of the key.
+     */
     RequestHandler create(DrainController drain, HomeTableController homes) {
         OperationFilter operations = new OperationFilter(directory, homes, clock, events);
         List<RequestFilter> filters = List.of(new MetricsFilter(metrics), operations, drain, newLimitFilter());
@@ -75,7 +78,7 @@
 
     private EndpointPolicy newPolicy() {
         FirstTokenEstimate estimate = new FirstTokenEstimate(
-                NetworkDistance.uniform(ACROSS_DOMAINS_MILLIS), REPORT_HALF_LIFE_MILLIS, addresses.count());
+                NetworkDistance.uniform(CROSS_DOMAIN_DELAY_MILLIS), REPORT_HALF_LIFE_MILLIS, addresses.count());
         return new FirstTokenPolicy(
                 estimate, SAMPLED_ENDPOINTS, () -> ThreadLocalRandom.current().nextLong());
     }
--- a/entry/src/main/java/org/jasminehub/entry/control/ControlState.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/ControlState.java
@@ -9,7 +9,8 @@
 import org.jasminehub.core.membership.MemberRole;
 
 /**
- * What an entry instance knows at one moment; immutable, so traffic threads read it without locks.
+ * An immutable snapshot of the documents and members that an entry instance knows; read by traffic threads without
+ * locks.
  *
  * <pre>{@code
  * List<DocumentInForce> documents = state.documentsOf(workspace);
@@ -21,7 +22,7 @@
     private final boolean current;
     private final ImmutableListMultimap<WorkspaceId, DocumentInForce> byWorkspace;
 
-    /** Creates a state; {@code current} tells whether the documents are known to be up to date. */
+    /** Creates a state; {@code current} is true if the documents are known to be up to date. */
     public ControlState(List<DocumentInForce> documents, List<Member> members, boolean current) {
         this.documents = List.copyOf(documents);
         this.members = List.copyOf(members);
@@ -29,17 +30,17 @@
         this.byWorkspace = index(this.documents);
     }
 
-    /** Returns the state of an instance that has learnt nothing yet. */
+    /** Returns the initial state: no documents, no members, not up to date. */
     public static ControlState empty() {
         return new ControlState(List.of(), List.of(), false);
     }
 
-    /** Returns this state with other documents. */
+    /** Returns a copy of this state with its documents replaced. */
     public ControlState withDocuments(List<DocumentInForce> newDocuments, boolean isCurrent) {
         return new ControlState(newDocuments, members, isCurrent);
     }
 
-    /** Returns this state with other members. */
+    /** Returns a copy of this state with its members replaced. */
     public ControlState withMembers(List<Member> newMembers) {
         return new ControlState(documents, newMembers, current);
     }
@@ -49,17 +50,17 @@
         return documents;
     }
 
-    /** Returns the documents in force that name {@code workspace}. */
+    /** Returns the documents in force that contain a rule for {@code workspace}. */
     public List<DocumentInForce> documentsOf(WorkspaceId workspace) {
         return byWorkspace.get(workspace);
     }
 
-    /** Returns all members that are known. */
+    /** Returns all known members. */
     public List<Member> members() {
         return members;
     }
 
-    /** Returns the members of one role. */
+    /** Returns the members that have {@code role}. */
     public List<Member> membersOf(MemberRole role) {
         return members.stream().filter(member -> member.role() == role).toList();
     }
--- a/entry/src/main/java/org/jasminehub/entry/control/ControlThread.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/ControlThread.java
@@ -8,7 +8,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The one thread on which controllers change the state; any thread may read the state.
+ * The single thread on which controllers change the state. Any thread may read the state.
  *
  * <pre>{@code
  * control.execute(() -> control.update(state -> state.withMembers(members)));
@@ -25,12 +25,12 @@
         return thread;
     });
 
-    /** Returns the newest state. */
+    /** Returns the latest state. */
     public ControlState state() {
         return state;
     }
 
-    /** Publishes the state that {@code change} makes of the present one. */
+    /** Replaces the state by the result of applying {@code change} to it. */
     public void update(UnaryOperator<ControlState> change) {
         state = change.apply(state);
     }
@@ -40,12 +40,12 @@
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            // The instance is stopping: nothing that arrives now can change what it does.
+            // The instance is stopping, so the task no longer matters.
         }
     }
 
-    /** Runs {@code task} now and then {@code intervalMillis} after each run. */
-    public void repeat(Runnable task, long intervalMillis) {
+    /** Runs {@code task} at once, and then again {@code intervalMillis} after the end of each run. */
+    public void runPeriodically(Runnable task, long intervalMillis) {
         executor.scheduleWithFixedDelay(task, 0, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentController.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentController.java
@@ -25,22 +25,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the documents in force: reads the log or a peer, decides, publishes what changed, and answers peers.
+ * Keeps the documents in force up to date: reads records from the log or a peer, publishes changes and replies to
+ * peers.
  *
  * <pre>{@code
  * DocumentController documents = new DocumentController(settings, control, members, log, peers, ids, clock, events,
  *         (inForce, current) -> control.update(state -> state.withDocuments(inForce, current)));
- * control.repeat(documents::refresh, 1_000);
+ * control.runPeriodically(documents::refresh, 1_000);
  * }</pre>
  *
- * <p>All methods run on the control thread, but {@link #onRequest}, which any thread may call.
+ * <p>All methods must run on the control thread, except {@link #onRequest}, which any thread may call.
  */
 public final class DocumentController {
     private static final int READERS_PER_DOMAIN = 2;
     private static final int FAN_OUT = 2;
-    private static final int MAX_ALTERNATES = 3;
+    private static final int MAX_FALLBACK_PEERS = 3;
     private static final int MAX_RECORDS = 256;
     private static final int WAIT_MILLIS = 1_000;
+    /** How long no records are requested from a peer after a failed request to it. */
     private static final long SUSPECT_MILLIS = 5_000;
 
     private final DocumentSettings settings;
@@ -53,22 +55,22 @@
     private final DocumentListener listener;
     private final SnapshotWriter snapshots;
     private final DocumentHistory history = new DocumentHistory();
-    private final RecordSourcePolicy spread = new RecordSourcePolicy(READERS_PER_DOMAIN, FAN_OUT);
+    private final RecordSourcePolicy sourcePolicy = new RecordSourcePolicy(READERS_PER_DOMAIN, FAN_OUT);
     private final Map<InstanceId, Long> suspectedUntilMillis = new HashMap<>();
     private HistoryState published = HistoryState.EMPTY;
     private Currency publishedCurrency = Currency.UNKNOWN;
     private boolean reading;
     private boolean started;
-    private int alternatesAsked;
+    private int fallbackRequests;
 
-    /** Creates a controller; {@code rounds} gives a new name to each snapshot. */
+    /** Creates a controller; {@code snapshotIds} supplies a unique id for each snapshot. */
     public DocumentController(
             DocumentSettings settings,
             Executor control,
             Supplier<List<Member>> members,
             LogService log,
             PeerClient peers,
-            Supplier<String> rounds,
+            Supplier<String> snapshotIds,
             Clock clock,
             EventSink events,
             DocumentListener listener) {
@@ -80,10 +82,10 @@
         this.clock = clock;
         this.events = events;
         this.listener = listener;
-        this.snapshots = new SnapshotWriter(settings, log, control, clock, rounds, events);
+        this.snapshots = new SnapshotWriter(settings, log, control, clock, snapshotIds, events);
     }
 
-    /** Reads on, unless a read is under way, and writes a snapshot if one is due. */
+    /** Starts reading new records unless a read is in progress, and writes a snapshot if one is due. */
     public void refresh() {
         publish();
         if (history.currency(clock.monotonicMillis()) == Currency.CURRENT) {
@@ -92,11 +94,11 @@
         read();
     }
 
-    /** Answers a peer's request for records. */
+    /** Replies to a peer's request for records. */
     public CompletionStage<ControlReply.Builder> onRequest(ControlRequest request) {
         return CompletableFuture.supplyAsync(
                 () -> ControlReply.newBuilder()
-                        .setRecords(history.answer(request.getRecords(), clock.monotonicMillis())),
+                        .setRecords(history.replyTo(request.getRecords(), clock.monotonicMillis())),
                 control);
     }
 
@@ -104,9 +106,9 @@
         if (reading) {
             return;
         }
-        RecordSource source = spread.source(settings.self(), settings.failureDomain(), reachable());
+        RecordSource source = sourcePolicy.source(settings.self(), settings.failureDomain(), reachable());
         if (source instanceof RecordSource.Peer peer) {
-            ask(peer.member());
+            requestRecords(peer.member());
         } else {
             readLog();
         }
@@ -114,46 +116,48 @@
 
     private void readLog() {
         reading = true;
-        long askedAtMillis = clock.monotonicMillis();
+        long requestedAtMillis = clock.monotonicMillis();
         log.read(history.nextOffset(), MAX_RECORDS, WAIT_MILLIS)
-                .whenCompleteAsync((page, failure) -> onPage(page, failure, askedAtMillis), control);
+                .whenCompleteAsync((page, failure) -> onPage(page, failure, requestedAtMillis), control);
     }
 
-    private void onPage(@Nullable LogPage page, @Nullable Throwable failure, long askedAtMillis) {
+    private void onPage(@Nullable LogPage page, @Nullable Throwable failure, long requestedAtMillis) {
         reading = false;
         if (page == null) {
             events.emit(new DocumentEvent.RecordsUnavailable("log", causeOf(failure)));
-            askAlternate();
+            requestFromFallbackPeer();
             return;
         }
-        accept(history.takePage(page, askedAtMillis));
-        boolean waited = clock.monotonicMillis() - askedAtMillis >= WAIT_MILLIS / 2;
+        accept(history.applyPage(page, requestedAtMillis));
+        // An empty page that arrived without waiting is not followed by another read, which would poll in a tight loop.
+        boolean waited = clock.monotonicMillis() - requestedAtMillis >= WAIT_MILLIS / 2;
         if (!page.records().isEmpty() || waited) {
             readLog();
         } else if (!history.isComplete()) {
-            askAlternate();
+            requestFromFallbackPeer();
         }
     }
 
-    private void askAlternate() {
+    private void requestFromFallbackPeer() {
         List<Member> fallbackPeers =
-                spread.fallbackPeers(settings.self(), settings.failureDomain(), reachable(), MAX_ALTERNATES);
+                sourcePolicy.fallbackPeers(settings.self(), settings.failureDomain(), reachable(), MAX_FALLBACK_PEERS);
         if (!fallbackPeers.isEmpty()) {
-            ask(fallbackPeers.get(alternatesAsked++ % fallbackPeers.size()));
-        } else if (isAlone()) {
-            history.noteAlone(clock.monotonicMillis());
+            requestRecords(fallbackPeers.get(fallbackRequests++ % fallbackPeers.size()));
+        } else if (isOnlyEntryInstance()) {
+            history.recordNoPeers(clock.monotonicMillis());
             publish();
         }
     }
 
-    private void ask(Member peer) {
+    private void requestRecords(Member peer) {
         reading = true;
-        long askedAtMillis = clock.monotonicMillis();
-        peers.ask(peer, history.request())
-                .whenCompleteAsync((reply, failure) -> onReply(peer, reply, failure, askedAtMillis), control);
+        long requestedAtMillis = clock.monotonicMillis();
+        peers.requestRecords(peer, history.request())
+                .whenCompleteAsync((reply, failure) -> onReply(peer, reply, failure, requestedAtMillis), control);
     }
 
-    private void onReply(Member peer, @Nullable RecordsReply reply, @Nullable Throwable failure, long askedAtMillis) {
+    private void onReply(
+            Member peer, @Nullable RecordsReply reply, @Nullable Throwable failure, long requestedAtMillis) {
         reading = false;
         if (reply == null) {
             suspectedUntilMillis.put(peer.id(), clock.monotonicMillis() + SUSPECT_MILLIS);
@@ -161,10 +165,10 @@
             return;
         }
         long before = history.state().completeTo();
-        accept(history.takeReply(peer.id().value(), reply, askedAtMillis));
+        accept(history.applyReply(peer.id().value(), reply, requestedAtMillis));
         long now = history.state().completeTo();
         if (now > before && now < reply.getNextOffset()) {
-            ask(peer);
+            requestRecords(peer);
         }
     }
 
@@ -178,7 +182,10 @@
         publish();
     }
 
-    /** Hands on what changed; nothing before this instance was first in step, so that no old version is served. */
+    /**
+     * Publishes changes to the listener. Nothing is published before the documents were confirmed up to date for the
+     * first time, so that no outdated version is served.
+     */
     private void publish() {
         HistoryState state = history.state();
         Currency currency = history.currency(clock.monotonicMillis());
@@ -205,9 +212,10 @@
                 .toList();
     }
 
-    /** Tells whether no other entry instance is known, reachable or not. */
-    private boolean isAlone() {
-        return spread.fallbackPeers(settings.self(), settings.failureDomain(), members.get(), 1)
+    /** Returns whether no other entry instance is known, reachable or not. */
+    private boolean isOnlyEntryInstance() {
+        return sourcePolicy
+                .fallbackPeers(settings.self(), settings.failureDomain(), members.get(), 1)
                 .isEmpty();
     }
 
@@ -220,6 +228,6 @@
     }
 
     private static String causeOf(@Nullable Throwable failure) {
-        return failure == null ? "no answer" : String.valueOf(failure.getMessage());
+        return failure == null ? "no response received" : String.valueOf(failure.getMessage());
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentEvent.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentEvent.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.Event;
 import org.jasminehub.core.history.DocumentEventKind;
 
-/** What a document controller did or met. */
+/** The events of a document controller. */
 sealed interface DocumentEvent extends Event {
     /** This instance wrote a snapshot of {@code parts} records. */
     record SnapshotWritten(long completeTo, int parts) implements DocumentEvent {
@@ -13,7 +13,7 @@
         }
     }
 
-    /** What is known about being current changed from {@code before} to {@code now}. */
+    /** The {@link org.jasminehub.core.history.Currency} of the documents changed from {@code before} to {@code now}. */
     record CurrencyChanged(String before, String now, long nextOffset) implements DocumentEvent {
         @Override
         public DocumentEventKind kind() {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** {@code source}, the log or a peer, did not give or take records. */
+    /** Records could not be read from or written to {@code source}, which is the log or a peer. */
     record RecordsUnavailable(String source, String cause) implements DocumentEvent {
         @Override
         public DocumentEventKind kind() {
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentHistory.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentHistory.java
@@ -25,13 +25,13 @@
 import org.jasminehub.wire.generated.StoredRecord;
 
 /**
- * The history of documents as this instance knows it: takes pages of the log and replies of peers, and answers peers.
+ * The history of documents known to this instance: applies pages of the log and replies of peers, and replies to peers.
  *
  * <p>Not thread-safe.
  */
 final class DocumentHistory {
     private static final int MAX_RECORDS = 256;
-    private static final long MAX_ANSWER_BYTES = 512 * 1024;
+    private static final long MAX_REPLY_BYTES = 512 * 1024;
     private static final long MAX_BUFFER_BYTES = 4 * 1024 * 1024;
     private static final long MAX_EVIDENCE_AGE_MILLIS = 8_000;
 
@@ -39,7 +39,7 @@
     private final HistoryStateFactory states = new HistoryStateFactory(new DocumentYamlAdapter());
     private final HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
     private final RecordBuffer buffer = new RecordBuffer(MAX_BUFFER_BYTES);
-    private final RepairPolicy repair = new RepairPolicy(MAX_RECORDS, MAX_ANSWER_BYTES);
+    private final RepairPolicy repair = new RepairPolicy(MAX_RECORDS, MAX_REPLY_BYTES);
     private final CurrencyTracker tracker = new CurrencyTracker(MAX_EVIDENCE_AGE_MILLIS);
 
     HistoryState state() {
@@ -58,27 +58,27 @@
         return tracker.currency(replay.isComplete(), nowMillis);
     }
 
-    /** Notes that no other instance is known that could have anything newer. */
-    void noteAlone(long nowMillis) {
+    /** Records that there is no other instance that could have newer records. */
+    void recordNoPeers(long nowMillis) {
         if (tracker.evidenceAgeMillis(nowMillis) >= 0) {
             tracker.onPeerAgreed(nowMillis);
         }
     }
 
-    /** Takes a page of the log that was asked for at {@code askedAtMillis}. */
-    List<HistoryEvent> takePage(LogPage page, long askedAtMillis) {
+    /** Applies a page of the log that was requested at {@code requestedAtMillis}. */
+    List<HistoryEvent> applyPage(LogPage page, long requestedAtMillis) {
         List<OffsetRecord> records = page.records().stream()
                 .map(record -> new OffsetRecord(record.offset(), record.payload()))
                 .toList();
         List<HistoryEvent> events = replay.applyLogPage(page.firstOffset(), records);
-        keep(records);
+        bufferApplied(records);
         if (replay.isComplete() && replay.nextOffset() >= page.nextOffset()) {
-            tracker.onCaughtUp(askedAtMillis);
+            tracker.onCaughtUp(requestedAtMillis);
         }
         return events;
     }
 
-    /** Returns what to ask a peer for. */
+    /** Returns the request for the next records, to be sent to a peer. */
     RecordsRequest request() {
         return RecordsRequest.newBuilder()
                 .setFromOffset(replay.state().completeTo())
@@ -86,8 +86,8 @@
                 .build();
     }
 
-    /** Takes the reply of {@code peer} to a request that was sent at {@code askedAtMillis}. */
-    List<HistoryEvent> takeReply(String peer, RecordsReply reply, long askedAtMillis) {
+    /** Applies the reply of {@code peer} to a request that was sent at {@code requestedAtMillis}. */
+    List<HistoryEvent> applyReply(String peer, RecordsReply reply, long requestedAtMillis) {
         List<HistoryEvent> events;
         if (reply.getSnapshot().isEmpty()) {
             List<OffsetRecord> records = reply.getRecordsList().stream()
@@ -95,25 +95,25 @@
                             record.getOffset(), record.getPayload().toByteArray()))
                     .toList();
             events = replay.applyPeerRecords(records);
-            keep(records);
+            bufferApplied(records);
         } else {
             events = install(peer, reply.getSnapshot());
         }
         if (replay.isComplete() && reply.getNextOffset() <= replay.state().completeTo()) {
-            noteEvidence(reply, askedAtMillis);
+            recordEvidence(reply, requestedAtMillis);
         }
         return events;
     }
 
     /** Returns the reply to a peer's {@code request}. */
-    RecordsReply answer(RecordsRequest request, long nowMillis) {
+    RecordsReply replyTo(RecordsRequest request, long nowMillis) {
         HistoryState state = replay.state();
         boolean isCurrent = currency(nowMillis) == Currency.CURRENT;
         RecordsReply.Builder reply = RecordsReply.newBuilder()
                 .setNextOffset(state.completeTo())
                 .setEvidenceAgeMillis(isCurrent ? tracker.evidenceAgeMillis(nowMillis) : -1);
-        RepairReply answer = repair.answer(request.getFromOffset(), request.getMaxRecords(), state, buffer);
-        if (answer instanceof RepairReply.Records records) {
+        RepairReply content = repair.answer(request.getFromOffset(), request.getMaxRecords(), state, buffer);
+        if (content instanceof RepairReply.Records records) {
             records.records().forEach(record -> reply.addRecords(toMessage(record)));
         } else {
             reply.setSnapshot(encode(state));
@@ -121,15 +121,15 @@
         return reply.build();
     }
 
-    private void noteEvidence(RecordsReply reply, long askedAtMillis) {
+    private void recordEvidence(RecordsReply reply, long requestedAtMillis) {
         if (reply.getEvidenceAgeMillis() >= 0) {
-            tracker.onCaughtUp(askedAtMillis - reply.getEvidenceAgeMillis());
+            tracker.onCaughtUp(requestedAtMillis - reply.getEvidenceAgeMillis());
         } else if (reply.getNextOffset() > 0) {
-            tracker.onPeerAgreed(askedAtMillis);
+            tracker.onPeerAgreed(requestedAtMillis);
         }
     }
 
-    private void keep(List<OffsetRecord> records) {
+    private void bufferApplied(List<OffsetRecord> records) {
         records.stream()
                 .filter(record -> record.offset() < replay.state().completeTo())
                 .forEach(buffer::add);
@@ -145,14 +145,14 @@
                         new HistoryEvent.SnapshotRefused(part.completeTo(), peer, String.valueOf(e.getMessage())));
             }
         }
-        return List.of(new HistoryEvent.SnapshotRefused(0, peer, "it is no snapshot"));
+        return List.of(new HistoryEvent.SnapshotRefused(0, peer, "the record is not a snapshot"));
     }
 
     private ByteString encode(HistoryState state) {
-        SnapshotRecord whole = new SnapshotSplitter(Integer.MAX_VALUE)
+        SnapshotRecord snapshot = new SnapshotSplitter(Integer.MAX_VALUE)
                 .split(state, "peer", "peer", 0)
                 .get(0);
-        return UnsafeByteOperations.unsafeWrap(codec.encode(whole));
+        return UnsafeByteOperations.unsafeWrap(codec.encode(snapshot));
     }
 
     private static StoredRecord toMessage(OffsetRecord record) {
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentListener.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentListener.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import org.jasminehub.core.document.DocumentInForce;
 
-/** Hears of each change of the documents in force; called on the control thread. */
+/** Receives each change of the documents in force. Called on the control thread. */
 @FunctionalInterface
 public interface DocumentListener {
-    /** Takes all documents in force and whether this instance may serve by them. */
+    /** Called with all documents in force; {@code isServing} is true if this instance may serve requests by them. */
     void onDocuments(List<DocumentInForce> documents, boolean isServing);
 }
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentSettings.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/DocumentSettings.java
@@ -5,14 +5,14 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * What a document controller is told about its instance and the log.
+ * The settings of a document controller.
  *
- * @param self the instance's name
- * @param failureDomain the set of instances it tends to fail with
- * @param logRetentionMillis how long the log keeps records
+ * @param self the id of the instance
+ * @param failureDomain the failure domain of the instance: the set of instances that are likely to fail together
+ * @param logRetentionMillis the retention time of records in the log
  */
 public record DocumentSettings(InstanceId self, FailureDomain failureDomain, long logRetentionMillis) {
-    /** Creates checked settings. */
+    /** Creates the settings after checking their ranges. */
     public DocumentSettings {
         Checks.positive("logRetentionMillis", logRetentionMillis);
     }
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/PeerClient.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/PeerClient.java
@@ -5,9 +5,9 @@
 import org.jasminehub.wire.generated.RecordsReply;
 import org.jasminehub.wire.generated.RecordsRequest;
 
-/** Asks other entry instances for records. */
+/** Requests records from other entry instances. */
 @FunctionalInterface
 public interface PeerClient {
-    /** Returns the answer of {@code peer}; the stage fails where it gives none in time. */
-    CompletionStage<RecordsReply> ask(Member peer, RecordsRequest request);
+    /** Returns the reply of {@code peer}. The stage fails if no reply arrives in time. */
+    CompletionStage<RecordsReply> requestRecords(Member peer, RecordsRequest request);
 }
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/SnapshotWriter.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/SnapshotWriter.java
@@ -17,21 +17,21 @@
 import org.jasminehub.platform.log.LogService;
 import org.jspecify.annotations.Nullable;
 
-/** Writes a snapshot to the log when it is this instance's turn. Used on the control thread only. */
+/** Writes a snapshot to the log when it is this instance's turn. Must be used on the control thread only. */
 final class SnapshotWriter {
     private static final int MAX_PART_CHARACTERS = 64 * 1024;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NOT_SEEN = Long.MIN_VALUE;
 
     private final DocumentSettings settings;
     private final SnapshotPolicy policy;
     private final LogService log;
     private final Executor control;
     private final Clock clock;
-    private final Supplier<String> rounds;
+    private final Supplier<String> snapshotIds;
     private final EventSink events;
     private final HistoryRecordCodec codec = new HistoryRecordCodec();
     private final long startedMillis;
-    private long newestSeenMillis = NEVER;
+    private long newestSeenMillis = NOT_SEEN;
     private long newestWallMillis;
     private boolean writing;
 
@@ -40,25 +40,25 @@
             LogService log,
             Executor control,
             Clock clock,
-            Supplier<String> rounds,
+            Supplier<String> snapshotIds,
             EventSink events) {
         this.settings = settings;
         this.policy = new SnapshotPolicy(settings.logRetentionMillis());
         this.log = log;
         this.control = control;
         this.clock = clock;
-        this.rounds = rounds;
+        this.snapshotIds = snapshotIds;
         this.events = events;
         this.startedMillis = clock.monotonicMillis();
     }
 
-    /** Notes a whole snapshot in the log. */
+    /** Records that a complete snapshot was read from the log. */
     void onSnapshotSeen(HistoryEvent.SnapshotSeen snapshot) {
         newestSeenMillis = clock.monotonicMillis();
         newestWallMillis = snapshot.wallMillis();
     }
 
-    /** Writes a snapshot of {@code state}, which must be current, if one is due. */
+    /** Writes a snapshot of {@code state} if one is due. The state must be up to date with the log. */
     void writeIfDue(HistoryState state, List<Member> members) {
         boolean isEmpty = state.head().count() == 0;
         if (writing || isEmpty || !policy.isDue(settings.self(), members, ageMillis())) {
@@ -66,7 +66,7 @@
         }
         writing = true;
         List<SnapshotRecord> parts = new SnapshotSplitter(MAX_PART_CHARACTERS)
-                .split(state, rounds.get(), settings.self().value(), clock.wallMillis());
+                .split(state, snapshotIds.get(), settings.self().value(), clock.wallMillis());
         CompletionStage<Long> appended = CompletableFuture.completedFuture(0L);
         for (SnapshotRecord part : parts) {
             appended = appended.thenCompose(offset -> log.append(codec.encode(part)));
@@ -74,9 +74,12 @@
         appended.whenCompleteAsync((offset, failure) -> onWritten(state, parts.size(), failure), control);
     }
 
-    /** A wall clock that was set back makes a snapshot look younger, so the time since it was read counts as well. */
+    /**
+     * Returns the age of the newest snapshot: the larger of its age by the wall clock and the time since it was read.
+     * The latter counts because a wall clock that was set back would make the snapshot look too recent.
+     */
     private long ageMillis() {
-        if (newestSeenMillis == NEVER) {
+        if (newestSeenMillis == NOT_SEEN) {
             return policy.dueAgeMillis() + clock.monotonicMillis() - startedMillis;
         }
         return Math.max(clock.monotonicMillis() - newestSeenMillis, clock.wallMillis() - newestWallMillis);
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/WirePeerClient.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/WirePeerClient.java
@@ -18,7 +18,10 @@
 import org.jasminehub.wire.generated.RecordsReply;
 import org.jasminehub.wire.generated.RecordsRequest;
 
-/** Asks peers over connections that stay open for the few peers asked last. Safe for use by several threads. */
+/**
+ * Requests records over connections, and keeps those to the most recently used peers open. Safe for use by several
+ * threads.
+ */
 public final class WirePeerClient implements PeerClient, AutoCloseable {
     private static final int MAX_CONNECTIONS = 4;
     private static final int TIMEOUT_MILLIS = 2_000;
@@ -26,16 +29,16 @@
     private final WireGroup group;
     private final Supplier<Hello> hello;
     private final Map<InstanceId, Connection> connections = new HashMap<>();
-    private long asked;
+    private long requestCount;
 
-    /** Creates a client; {@code hello} says who this process is. */
+    /** Creates a client; {@code hello} supplies this process's hello message. */
     public WirePeerClient(WireGroup group, Supplier<Hello> hello) {
         this.group = group;
         this.hello = hello;
     }
 
     @Override
-    public synchronized CompletionStage<RecordsReply> ask(Member peer, RecordsRequest request) {
+    public synchronized CompletionStage<RecordsReply> requestRecords(Member peer, RecordsRequest request) {
         ControlRequest.Builder envelope = ControlRequest.newBuilder().setRecords(request);
         return connectionTo(peer).request(envelope, TIMEOUT_MILLIS).thenApply(WirePeerClient::recordsOf);
     }
@@ -55,14 +58,14 @@
 
     private WireClient connectionTo(Member peer) {
         Connection known = connections.get(peer.id());
-        boolean isSame = known != null && known.reaches(peer);
+        boolean isSame = known != null && known.hasAddressOf(peer);
         if (known != null && !isSame) {
             known.client().close();
         }
         WireClient client = known != null && isSame
                 ? known.client()
                 : new WireClient(group, peer.host(), peer.wirePort(), hello, new Listener());
-        connections.put(peer.id(), new Connection(peer, client, asked++));
+        connections.put(peer.id(), new Connection(peer, client, requestCount++));
         closeOldest();
         return client;
     }
@@ -70,19 +73,22 @@
     private void closeOldest() {
         while (connections.size() > MAX_CONNECTIONS) {
             Connection oldest = connections.values().stream()
-                    .min((one, other) -> Long.compare(one.lastAsked(), other.lastAsked()))
+                    .min((one, other) -> Long.compare(one.lastRequest(), other.lastRequest()))
                     .orElseThrow();
             connections.remove(oldest.peer().id()).client().close();
         }
     }
 
-    private record Connection(Member peer, WireClient client, long lastAsked) {
-        boolean reaches(Member other) {
+    private record Connection(Member peer, WireClient client, long lastRequest) {
+        boolean hasAddressOf(Member other) {
             return peer.host().equals(other.host()) && peer.wirePort() == other.wirePort();
         }
     }
 
-    /** Peers report nothing on these connections; a lost one shows in the request that fails. */
+    /**
+     * Ignores all messages: peers report nothing on these connections, and a lost connection fails the pending
+     * requests.
+     */
     private static final class Listener implements PeerListener {
         @Override
         public void onHello(Hello peer) {}
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/package-info.java
@@ -1,4 +1,4 @@
-/** Documents in force: read from the log or from peers, decided on, published to traffic threads, and snapshotted. */
+/** Reads documents from the log or from peers, publishes those in force to traffic threads and writes snapshots. */
 @NullMarked
 package org.jasminehub.entry.control.documents;
 
--- a/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
@@ -25,10 +25,10 @@
 import org.jasminehub.wire.generated.MemberReport;
 
 /**
- * Merges the platform's list, this instance's links and what its peers pass on, and publishes the members.
+ * Publishes the members, merged from the platform's instance list, direct connections and reports of peers.
  *
- * <p>A member that takes no new work, for whatever reason, is published as leaving. {@link #refresh} and {@link #beat}
- * run on the control thread; the other methods are safe for use by several threads.
+ * <p>A member that accepts no new work for any reason is published as leaving. {@link #refresh} and
+ * {@link #sendHeartbeat} must run on the control thread; the other methods are safe for use by several threads.
  */
 public final class MembershipController implements LinkObserver {
     private static final int MAX_REPORTS = 16;
@@ -47,18 +47,18 @@
     private volatile List<MemberReport> reports = List.of();
 
     /**
-     * Creates a controller that knows nobody.
+     * Creates a controller without members.
      *
      * @param self this instance
-     * @param hello says who it is; first called after it has started
+     * @param hello supplies this instance's hello message; first called after the instance has started
      * @param control the control thread
-     * @param list the platform's list
+     * @param list the platform's instance list
      * @param peers the connections to peers
-     * @param distance how far failure domains are from this instance
-     * @param onAgents takes the watched agents after each change, on the control thread
-     * @param broadcast sends this instance's greeting to all peers that watch it
+     * @param distance the distances of failure domains from this instance
+     * @param onAgents receives the watched agents after each change; called on the control thread
+     * @param broadcast sends this instance's hello message to all peers that watch it
      * @param clock the clock
-     * @param events takes what changed
+     * @param events receives events about membership changes
      */
     public MembershipController(
             InstanceId self,
@@ -83,75 +83,78 @@
         this.watchPolicy = new WatchPolicy(self, distance);
     }
 
-    /** Reads the list once; its answer is taken in when it arrives, a failure leaves what is known. */
+    /** Reads the instance list and applies it when it arrives. If the read fails, the known members stay. */
     public void refresh() {
         list.fetch().thenAcceptAsync(this::accept, control);
     }
 
-    /** Sends a heartbeat with news to all peers that watch this instance, and looks for members that fell silent. */
-    public void beat() {
-        take(hello.get());
+    /** Sends a heartbeat with membership reports to all peers that watch this instance, and detects silent members. */
+    public void sendHeartbeat() {
+        applyHello(hello.get());
         view.checkContacts(now());
-        passOnNews();
+        broadcastReports();
         publish();
     }
 
-    /** Returns the news that this instance's greetings carry. */
+    /** Returns the membership reports that are included in this instance's hello messages. */
     public List<MemberReport> reports() {
         return reports;
     }
 
     @Override
-    public void onHeard(Hello peer) {
-        control.execute(() -> take(peer));
+    public void onPeerMessage(Hello peer) {
+        control.execute(() -> applyHello(peer));
     }
 
     @Override
-    public void onBroken(InstanceId instance) {
-        control.execute(() -> breakLink(instance));
+    public void onConnectionFailed(InstanceId instance) {
+        control.execute(() -> handleBrokenConnection(instance));
     }
 
-    /** Publishes a change only, as each publishing opens lost connections again and a refused one breaks at once. */
-    private void breakLink(InstanceId instance) {
-        boolean tookWork = acceptsNewWork(instance);
+    /**
+     * Publishes the members only if the broken connection changed them. Publishing reconnects lost connections, and a
+     * refused connection breaks again immediately, so publishing each time would reconnect in a tight loop.
+     */
+    private void handleBrokenConnection(InstanceId instance) {
+        boolean acceptedWork = acceptsNewWork(instance);
         view.onLinkBroken(instance);
-        if (tookWork != acceptsNewWork(instance)) {
+        if (acceptedWork != acceptsNewWork(instance)) {
             publish();
         }
     }
 
     private void accept(List<Member> members) {
         view.onListRead(members, now());
-        Set<InstanceId> chosen = new HashSet<>(watchPolicy.choose(merged()));
-        watched.stream().filter(this::isListedAndLeaving).forEach(chosen::add);
-        chosen.add(self);
-        watched = Set.copyOf(chosen);
+        Set<InstanceId> selected = new HashSet<>(watchPolicy.choose(merged()));
+        watched.stream().filter(this::isListedAndLeaving).forEach(selected::add);
+        selected.add(self);
+        watched = Set.copyOf(selected);
         view.watch(watched, now());
         publish();
     }
 
-    private void take(Hello peer) {
+    private void applyHello(Hello peer) {
         Optional<MemberFact> fact = fact(peer.getInstance(), peer.getIncarnation(), peer.getLeaving());
         if (fact.isEmpty()) {
             return;
         }
         long digestBefore = view.digests().hashCode();
-        boolean tookWork = acceptsNewWork(fact.get().id());
+        boolean acceptedWork = acceptsNewWork(fact.get().id());
         view.onDirectFact(fact.get(), now());
         for (MemberReport report : peer.getMembersList()) {
             fact(report.getInstance(), report.getIncarnation(), report.getLeaving())
                     .ifPresent(view::onPeerFact);
         }
-        boolean hasNews = view.digests().hashCode() != digestBefore;
-        if (hasNews) {
-            passOnNews();
+        boolean hasChanges = view.digests().hashCode() != digestBefore;
+        if (hasChanges) {
+            broadcastReports();
         }
-        if (hasNews || tookWork != acceptsNewWork(fact.get().id())) {
+        if (hasChanges || acceptedWork != acceptsNewWork(fact.get().id())) {
             publish();
         }
     }
 
-    private void passOnNews() {
+    private void broadcastReports() {
         reports = view.nextGossip(MAX_REPORTS).stream()
                 .map(MembershipController::report)
                 .toList();
--- a/entry/src/main/java/org/jasminehub/entry/control/members/PeerLinks.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/PeerLinks.java
@@ -16,13 +16,13 @@
 import org.jasminehub.wire.generated.EndpointLoad;
 import org.jasminehub.wire.generated.Hello;
 
-/** The connections to the entry instances that this one watches; used on the control thread only. */
+/** The connections to the entry instances that this one watches. Must be used on the control thread only. */
 public final class PeerLinks implements AutoCloseable {
     private final WireGroup group;
     private final Supplier<Hello> hello;
     private final Map<InstanceId, Peer> peers = new HashMap<>();
 
-    /** Creates no connection yet; {@code hello} says who this process is. */
+    /** Creates the object without opening a connection; {@code hello} supplies this process's hello message. */
     public PeerLinks(WireGroup group, Supplier<Hello> hello) {
         this.group = group;
         this.hello = hello;
@@ -33,7 +33,7 @@
         peers.values().forEach(peer -> peer.client().close());
     }
 
-    /** Connects to exactly {@code watched}, again where a connection was lost. */
+    /** Connects to all of {@code watched}, reconnects lost connections and closes all other connections. */
     void update(Collection<Member> watched, LinkObserver observer) {
         Set<Address> wanted = watched.stream().map(Address::of).collect(Collectors.toSet());
         for (Peer peer : List.copyOf(peers.values())) {
@@ -65,17 +65,17 @@
     private record Listener(InstanceId id, LinkObserver observer) implements PeerListener {
         @Override
         public void onHello(Hello peer) {
-            observer.onHeard(peer);
+            observer.onPeerMessage(peer);
         }
 
         @Override
         public void onLoad(EndpointLoad load) {
-            // Entry instances have no endpoint whose load they could report.
+            // Entry instances have no endpoint and report no load.
         }
 
         @Override
         public void onDisconnected() {
-            observer.onBroken(id);
+            observer.onConnectionFailed(id);
         }
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/control/members/WatchPolicy.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/WatchPolicy.java
@@ -14,7 +14,7 @@
 import org.jasminehub.core.membership.MemberRole;
 import org.jasminehub.core.membership.Target;
 
-/** Chooses whom one entry instance watches: a few peers, and a few agents of each target. Immutable. */
+/** Selects the members that an entry instance watches: a few peers and a few agents of each target. Immutable. */
 final class WatchPolicy {
     private static final int PEERS = 8;
     private static final int AGENTS_PER_TARGET = 16;
@@ -30,7 +30,7 @@
         this.distance = distance;
     }
 
-    /** Returns the watched ones among {@code members}, those that are live by the list and by what they said. */
+    /** Returns the ids of the members to watch, selected from {@code members}. */
     Set<InstanceId> choose(Collection<Member> members) {
         Set<InstanceId> watched = new HashSet<>(ring.watchedBy(self, entries(members)));
         agentsByTarget(members)
--- a/entry/src/main/java/org/jasminehub/entry/control/members/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps what this instance knows of the others. */
+/** Tracks the other instances and their states. */
 @NullMarked
 package org.jasminehub.entry.control.members;
 
--- a/entry/src/main/java/org/jasminehub/entry/control/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/package-info.java
@@ -1,4 +1,4 @@
-/** Controllers: what this instance knows, kept on one thread and published as immutable snapshots. */
+/** Controllers of the state of this instance, which run on one thread and publish the state as immutable snapshots. */
 @NullMarked
 package org.jasminehub.entry.control;
 
--- a/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
+++ b/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
@@ -15,16 +15,16 @@
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.entry.control.ControlThread;
-import org.jasminehub.entry.filter.Answer;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.filter.RequestFilter;
 import org.jasminehub.entry.filter.RequestHandler;
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts the open requests of an entry instance and leads its planned stop.
+ * Counts the open requests of an entry instance and drains the instance before it stops.
  *
- * <p>A stream counts until its last byte was taken. Safe for use by several threads.
+ * <p>A streamed response counts as an open request until its stream ends. Safe for use by several threads.
  */
 public final class DrainController implements RequestFilter {
     private static final long POLL_INTERVAL_MILLIS = 20;
@@ -48,49 +48,50 @@
         this.events = events;
     }
 
-    /** Returns whether a planned stop has begun. */
+    /** Returns whether draining has started. */
     public boolean isLeaving() {
         return drain != null;
     }
 
-    /** Begins the planned stop; the stage completes when the process may end. */
+    /** Starts draining. The returned stage completes when the process may exit. */
     public CompletionStage<Void> begin() {
         control.execute(() -> {
             if (drain == null) {
                 drain = new EntryDrain(instance, policy, open::get, clock, events);
-                control.repeat(this::advance, POLL_INTERVAL_MILLIS);
+                control.runPeriodically(this::advance, POLL_INTERVAL_MILLIS);
             }
         });
         return stopped;
     }
 
     @Override
-    public CompletionStage<Answer> handle(RequestContext context, RequestHandler next) {
-        EntryDrain present = drain;
-        if (present != null && !present.acceptsRequests()) {
+    public CompletionStage<CallerResponse> handle(RequestContext context, RequestHandler next) {
+        EntryDrain current = drain;
+        if (current != null && !current.acceptsRequests()) {
             return CompletableFuture.failedFuture(new RequestException(
                     ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "this instance is leaving; ask for its successors"));
         }
         open.incrementAndGet();
-        return next.handle(context).handle(this::untilEnd).thenCompose(stage -> stage);
+        return next.handle(context).handle(this::countUntilEnd).thenCompose(stage -> stage);
     }
 
-    private CompletionStage<Answer> untilEnd(@Nullable Answer answer, @Nullable Throwable failure) {
-        if (answer instanceof Answer.Streamed streamed) {
+    private CompletionStage<CallerResponse> countUntilEnd(
+            @Nullable CallerResponse response, @Nullable Throwable failure) {
+        if (response instanceof CallerResponse.Streamed streamed) {
             Source<ByteString, NotUsed> counted = streamed.body().watchTermination((unused, end) -> {
-                end.whenComplete((done, cut) -> open.decrementAndGet());
+                end.whenComplete((done, error) -> open.decrementAndGet());
                 return unused;
             });
             return CompletableFuture.completedFuture(
-                    new Answer.Streamed(streamed.status(), streamed.contentType(), counted));
+                    new CallerResponse.Streamed(streamed.status(), streamed.contentType(), counted));
         }
         open.decrementAndGet();
-        return answer == null ? CompletableFuture.failedFuture(failure) : CompletableFuture.completedFuture(answer);
+        return response == null ? CompletableFuture.failedFuture(failure) : CompletableFuture.completedFuture(response);
     }
 
     private void advance() {
-        EntryDrain present = drain;
-        if (present != null && present.advance() == DrainPhase.STOPPED) {
+        EntryDrain current = drain;
+        if (current != null && current.advance() == DrainPhase.STOPPED) {
             stopped.complete(null);
         }
     }
--- a/entry/src/main/java/org/jasminehub/entry/drain/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/drain/package-info.java
@@ -1,4 +1,4 @@
-/** The planned stop of an entry instance. */
+/** Drains an entry instance before it stops. */
 @NullMarked
 package org.jasminehub.entry.drain;
 
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointDirectory.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointDirectory.java
@@ -20,7 +20,7 @@
 /**
  * The connections of this instance to agents.
  *
- * <p>{@link #update} is called on the control thread; the other methods are safe for use by several threads.
+ * <p>{@link #update} must be called on the control thread; the other methods are safe for use by several threads.
  */
 public final class EndpointDirectory implements AutoCloseable {
     private final WireGroup group;
@@ -30,7 +30,7 @@
     private final LinkObserver observer;
     private final Map<EndpointId, EndpointLink> links = new ConcurrentHashMap<>();
 
-    /** Creates a directory without connections; {@code hello} says who this process is. */
+    /** Creates a directory without connections; {@code hello} supplies this process's hello message. */
     public EndpointDirectory(
             WireGroup group,
             Supplier<Hello> hello,
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Opens connections to agents that are new in {@code members}. Those of agents that are gone take no new work and are
-     * closed once their calls have ended.
+     * Opens connections to the agents in {@code members}. Connections to all other agents receive no new work and are
+     * closed after their calls have ended.
      */
     public void update(List<Member> members) {
         Map<EndpointId, Member> agents = new HashMap<>();
@@ -63,7 +63,9 @@
         }
     }
 
-    /** Returns the connections over which new work for {@code target} may be sent, without those of outliers. */
+    /**
+     * Returns the connections over which new work for {@code target} may be sent, without those to ejected outliers.
+     */
     public List<EndpointLink> usable(Target target) {
         List<EndpointLink> usable = new ArrayList<>();
         for (EndpointLink link : links.values()) {
@@ -77,7 +79,7 @@
         return usable;
     }
 
-    /** Returns the connection to {@code id}, if there is one. */
+    /** Returns the connection to the endpoint {@code id}, if there is one. */
     public Optional<EndpointLink> link(EndpointId id) {
         return Optional.ofNullable(links.get(id));
     }
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
@@ -18,7 +18,7 @@
 import org.jasminehub.wire.generated.EndpointLoad;
 import org.jasminehub.wire.generated.Hello;
 
-/** The connection to one agent and what it last reported. Safe for use by several threads. */
+/** The connection to an agent, with the state that the agent last reported. Safe for use by several threads. */
 public final class EndpointLink implements AutoCloseable {
     private final EndpointId id;
     private final EndpointTracker tracker;
@@ -45,55 +45,67 @@
         this.client = new WireClient(group, member.host(), member.wirePort(), hello, new Listener());
     }
 
-    /** Returns the endpoint's name, which is that of its agent's instance. */
+    /** Returns the id of the endpoint, which equals the instance id of its agent. */
     public EndpointId id() {
         return id;
     }
 
-    /** Returns the agent as the list last showed it. */
+    /** Returns the agent as a member, as passed to the last update. */
     public Member member() {
         return member;
     }
 
-    /** Returns what the agent last said of itself; the default message before it said anything. */
+    /** Returns the last hello message of the agent, or the default message if none was received. */
     public Hello peer() {
         return peer;
     }
 
-    /** Returns whether new work may be sent: connected, and leaving neither by the list nor by its own word. */
+    /**
+     * Returns whether new work may be sent: the agent is connected, and neither its member state nor its last
+     * hello message says that it is leaving.
+     */
     public boolean isUsable() {
         return connected && member.isLive() && !peer.getLeaving();
     }
 
-    /** Returns what is known for a choice; {@code prefixHitTokens} is the caller's estimate. */
+    /**
+     * Returns the state of the endpoint for endpoint selection.
+     *
+     * @param prefixHitTokens the caller's estimate of the prompt tokens that the endpoint has cached
+     */
     public EndpointState state(long prefixHitTokens) {
         return tracker.state(id, member.failureDomain(), prefixHitTokens);
     }
 
-    /** Starts a call that is expected to cost {@code workTokens}; the caller must call {@link #callEnded} once. */
+    /**
+     * Starts a call with the expected cost {@code workTokens}. {@link #callEnded} must be called once after it ended.
+     */
     public OutgoingCall call(CallStart.Builder start, long workTokens, AnswerListener listener) {
         outstanding.incrementAndGet();
         tracker.recordSent(id, workTokens);
         return client.call(start, listener);
     }
 
-    /** Notes that a call started with {@link #call} has ended. */
+    /** Records that a call started with {@link #call} has ended. */
     public void callEnded() {
         outstanding.decrementAndGet();
         tracker.recordFinished(id);
     }
 
-    /** Notes whether an attempt that ran here gave its whole answer; a refusal as not run is neither. */
+    /**
+     * Records whether an attempt at this endpoint succeeded, that is, returned a complete response. Must not be called
+     * for an attempt that was refused without being run.
+     */
     public void recordAttempt(boolean succeeded) {
         outliers.record(id, succeeded);
     }
 
-    /** Notes how long the first part of an answer took against its estimate. */
+    /** Records the estimated and the observed time to the first token of a response. */
     public void recordFirstToken(double estimateMillis, double observedMillis) {
         tracker.recordFirstToken(id, estimateMillis, observedMillis);
     }
 
-    /** Returns the connection, for control requests. */
+    /** Returns the client for sending control requests. */
     public WireClient client() {
         return client;
     }
@@ -108,7 +120,7 @@
         client.connect();
     }
 
-    /** Takes no new work from now on, unless the agent is seen again. */
+    /** Marks the agent as leaving, so that no new work is sent to it until the next {@link #update}. */
     void retire() {
         member = member.withState(MemberState.LEAVING);
     }
@@ -130,14 +142,17 @@
     private final class Listener implements PeerListener {
         @Override
         public void onHello(Hello hello) {
-            forgetEarlierIncarnation(hello);
+            resetOnNewIncarnation(hello);
             peer = hello;
             connected = true;
-            observer.onHeard(hello);
+            observer.onPeerMessage(hello);
         }
 
-        /** What an earlier incarnation reported, for example that it accepts nothing, says nothing of this one. */
-        private void forgetEarlierIncarnation(Hello hello) {
+        /**
+         * Discards the recorded state if the agent was restarted. A report of the earlier incarnation, for example that
+         * it accepts no work, does not apply to the new one.
+         */
+        private void resetOnNewIncarnation(Hello hello) {
             if (hello.getIncarnation() != peer.getIncarnation()) {
                 tracker.forget(id);
                 outliers.forget(id);
@@ -147,13 +162,13 @@
         @Override
         public void onLoad(EndpointLoad report) {
             tracker.recordReport(id, toLoadReport(report), report.getAgeMillis());
-            observer.onHeard(peer);
+            observer.onPeerMessage(peer);
         }
 
         @Override
         public void onDisconnected() {
             connected = false;
-            observer.onBroken(member.id());
+            observer.onConnectionFailed(member.id());
         }
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/LinkObserver.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/LinkObserver.java
@@ -3,11 +3,11 @@
 import org.jasminehub.core.identity.InstanceId;
 import org.jasminehub.wire.generated.Hello;
 
-/** Hears of the processes at the other ends of this instance's connections; called on a thread of the transport. */
+/** Observes the peers of this instance's connections. Called on an I/O thread, must not block. */
 public interface LinkObserver {
-    /** The process was heard; {@code peer} is what it last said of itself. */
-    void onHeard(Hello peer);
+    /** Called when a peer sent a message; {@code peer} is its last hello message. */
+    void onPeerMessage(Hello peer);
 
-    /** The connection to the process of {@code instance} is gone or could not be opened. */
-    void onBroken(InstanceId instance);
+    /** Called when the connection to {@code instance} was lost or could not be opened. */
+    void onConnectionFailed(InstanceId instance);
 }
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/package-info.java
@@ -1,4 +1,4 @@
-/** Connections to agents and what they report. */
+/** Connections to agents and the state that agents report. */
 @NullMarked
 package org.jasminehub.entry.endpoint;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/CallerRequest.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/CallerRequest.java
@@ -7,20 +7,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request as its caller sent it, parsed but not yet matched with a document.
+ * A parsed request from a caller that is not yet matched with a document.
  *
- * @param id the request's name
- * @param workspace on whose behalf it is sent
- * @param target what should serve it
- * @param method its HTTP method
- * @param path its path below the target
- * @param stream whether the answer should be relayed as it is generated
- * @param body its body
- * @param promptTokens the prompt's estimated length
- * @param maxAnswerTokens the most tokens the answer may have
- * @param routeName the route that the caller names, or null
- * @param idempotencyKey the caller's Idempotency-Key, or null
- * @param arrivedMillis when it arrived, by the process's monotonic clock
+ * @param id the id of the request
+ * @param workspace the workspace that the request belongs to
+ * @param target the model or service that the request is for
+ * @param method the HTTP method
+ * @param path the path relative to the target
+ * @param stream whether the caller requests a streamed response
+ * @param body the request body
+ * @param promptTokens the estimated length of the prompt
+ * @param maxAnswerTokens the maximum number of tokens in the response
+ * @param routeName the name of the route requested by the caller, or null
+ * @param idempotencyKey the value of the Idempotency-Key header, or null
+ * @param arrivedMillis the time of arrival by the monotonic clock of this process
  */
 public record CallerRequest(
         RequestId id,
--- a/entry/src/main/java/org/jasminehub/entry/filter/Answer.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/CallerResponse.java
@@ -4,8 +4,8 @@
 import org.apache.pekko.stream.javadsl.Source;
 import org.apache.pekko.util.ByteString;
 
-/** What a caller gets: a whole body, or a stream of bytes in the form that the caller reads. */
-public sealed interface Answer {
+/** The response to a caller: either a complete body or a stream of bytes. */
+public sealed interface CallerResponse {
     /** Returns the HTTP status. */
     int status();
 
@@ -13,20 +13,20 @@
     String contentType();
 
     /**
-     * An answer whose whole body is at hand.
+     * A response with a complete body.
      *
      * @param status the HTTP status
      * @param contentType the value of the Content-Type header
-     * @param body the body
+     * @param body the response body
      */
-    record Whole(int status, String contentType, ByteString body) implements Answer {}
+    record Complete(int status, String contentType, ByteString body) implements CallerResponse {}
 
     /**
-     * An answer that is relayed as it is generated; the stream fails where the answer was cut.
+     * A response that is relayed as it is generated. The stream fails if the response is interrupted.
      *
      * @param status the HTTP status
      * @param contentType the value of the Content-Type header
-     * @param body the bytes
+     * @param body the stream of the response body
      */
-    record Streamed(int status, String contentType, Source<ByteString, NotUsed> body) implements Answer {}
+    record Streamed(int status, String contentType, Source<ByteString, NotUsed> body) implements CallerResponse {}
 }
--- a/entry/src/main/java/org/jasminehub/entry/filter/Failures.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/Failures.java
@@ -5,17 +5,19 @@
 import org.jasminehub.core.error.Outcome;
 import org.jasminehub.core.error.RequestException;
 
-/** Finds out what a failed stage failed with. */
+/** Unwraps and converts the failures of completion stages. */
 public final class Failures {
     private Failures() {}
 
-    /** Returns what {@code failure} wraps, or {@code failure} itself where it wraps nothing. */
+    /**
+     * Returns the cause of {@code failure} if it is a {@link CompletionException}, otherwise {@code failure} itself.
+     */
     public static Throwable causeOf(Throwable failure) {
         Throwable wrapped = failure.getCause();
         return failure instanceof CompletionException && wrapped != null ? wrapped : failure;
     }
 
-    /** Returns {@code failure} as the answer to a caller; an unforeseen one leaves the outcome unknown. */
+    /** Returns {@code failure} as a {@link RequestException}. An unexpected failure has the outcome "unknown". */
     public static RequestException toRequestException(Throwable failure) {
         Throwable cause = causeOf(failure);
         if (cause instanceof RequestException known) {
--- a/entry/src/main/java/org/jasminehub/entry/filter/MetricsFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/MetricsFilter.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Measures the time to the head of each answer and counts failures by their code.
+ * Measures the time to the head of each response and counts failures by error code.
  *
  * <p>Metrics: {@code entry.requests.KIND} (timer) and {@code entry.failures.CODE} (counter). Safe for use by several
  * threads.
@@ -20,10 +20,10 @@
     }
 
     @Override
-    public CompletionStage<Answer> handle(RequestContext context, RequestHandler next) {
+    public CompletionStage<CallerResponse> handle(RequestContext context, RequestHandler next) {
         Timer.Context timer =
                 metrics.timer("entry.requests." + context.route().kind()).time();
-        return next.handle(context).whenComplete((answer, failure) -> {
+        return next.handle(context).whenComplete((response, failure) -> {
             timer.stop();
             count(failure);
         });
--- a/entry/src/main/java/org/jasminehub/entry/filter/Problem.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/Problem.java
@@ -9,13 +9,13 @@
 /**
  * A problem document of RFC 9457.
  *
- * @param type a URI reference of the problem's kind
- * @param title a short name of it
+ * @param type the URI reference of the problem type
+ * @param title a short name of the problem
  * @param status the HTTP status
- * @param detail what happened
- * @param code the stable code
- * @param outcome what is known of the request's effect
- * @param retryAfterMillis when to come back, or null where that makes no difference
+ * @param detail a description of the failure
+ * @param code the stable error code
+ * @param outcome whether the request ran, as far as it is known
+ * @param retryAfterMillis the delay after which the caller may retry, or null if a retry makes no difference
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Problem(
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestContext.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestContext.java
@@ -6,22 +6,22 @@
 import org.jasminehub.core.document.WorkspaceRule;
 
 /**
- * A request with the rules that its team's document sets for it.
+ * A request with the rules of its team's document that apply to it.
  *
  * @param request the request
- * @param document the document in force when it arrived
- * @param route the route it takes
- * @param workspace its workspace's rule
+ * @param document the document that was in force when the request arrived
+ * @param route the matching route
+ * @param workspace the rule of its workspace
  */
 public record RequestContext(
         CallerRequest request, DocumentInForce document, RouteRule route, WorkspaceRule workspace) {
-    /** Returns when the answer is of no use any more, by the process's monotonic clock. */
+    /** Returns the deadline of the request by the monotonic clock of this process. */
     public long deadlineMillis() {
         return request.arrivedMillis() + route.deadlineMillis();
     }
 
-    /** Returns whether a repeat of the request is harmless. */
-    public boolean isRepeatable() {
+    /** Returns whether the request may safely run more than once. */
+    public boolean isIdempotent() {
         return route.kind() != RouteKind.NON_IDEMPOTENT;
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestFilter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * One step of the chain that a request passes: it answers itself, or passes the request on and may change the answer.
+ * One step of the filter chain: responds to a request itself, or passes it on and may change the response.
  *
  * <pre>{@code
  * RequestHandler chain = RequestFilter.chain(List.of(limits, operations), relay);
@@ -15,10 +15,10 @@
  */
 @FunctionalInterface
 public interface RequestFilter {
-    /** Returns the answer to {@code context}, with the help of {@code next} unless the filter answers itself. */
-    CompletionStage<Answer> handle(RequestContext context, RequestHandler next);
+    /** Returns the response to {@code context}; calls {@code next} unless this filter responds itself. */
+    CompletionStage<CallerResponse> handle(RequestContext context, RequestHandler next);
 
-    /** Returns a handler that sends requests through {@code filters} in their order and then to {@code last}. */
+    /** Returns a handler that passes requests through {@code filters} in order and then to {@code last}. */
     static RequestHandler chain(List<RequestFilter> filters, RequestHandler last) {
         RequestHandler handler = last;
         for (RequestFilter filter : ImmutableList.copyOf(filters).reverse()) {
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestHandler.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestHandler.java
@@ -2,9 +2,9 @@
 
 import java.util.concurrent.CompletionStage;
 
-/** Answers a request; the stage fails with {@link org.jasminehub.core.error.RequestException}. Must not block. */
+/** Handles requests. Implementations must not block. */
 @FunctionalInterface
 public interface RequestHandler {
-    /** Returns the answer to {@code context}. */
-    CompletionStage<Answer> handle(RequestContext context);
+    /** Returns the response to {@code context}, or fails with {@link org.jasminehub.core.error.RequestException}. */
+    CompletionStage<CallerResponse> handle(RequestContext context);
 }
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestIdentifier.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestMatcher.java
@@ -11,21 +11,22 @@
 import org.jasminehub.core.error.RequestException;
 import org.jasminehub.entry.control.ControlState;
 
-/** Finds the document, route and workspace rule of a request. Safe for use by several threads. */
-public final class RequestIdentifier {
+/** Finds the document, the route and the workspace rule of a request. Safe for use by several threads. */
+public final class RequestMatcher {
     private final Supplier<ControlState> state;
 
-    /** Creates an identifier that reads the present state from {@code state}. */
-    public RequestIdentifier(Supplier<ControlState> state) {
+    /** Creates a matcher that reads the current documents from {@code state}. */
+    public RequestMatcher(Supplier<ControlState> state) {
         this.state = state;
     }
 
     /**
-     * Returns the request with its rules.
+     * Returns the request with the rules that apply to it.
      *
-     * @throws RequestException if no document in force names the workspace, or none of its routes takes the request
+     * @throws RequestException if no document in force contains the workspace, no route matches the request, or the
+     *     route requires an idempotency key that is missing
      */
-    public RequestContext identify(CallerRequest request) {
+    public RequestContext match(CallerRequest request) {
         List<DocumentInForce> documents = state.get().documentsOf(request.workspace());
         if (documents.isEmpty()) {
             throw new RequestException(
@@ -56,7 +57,7 @@
         WorkspaceRule workspace =
                 document.document().workspace(request.workspace()).orElseThrow();
         RequestContext context = new RequestContext(request, document, route, workspace);
-        if (!context.isRepeatable() && request.idempotencyKey() == null) {
+        if (!context.isIdempotent() && request.idempotencyKey() == null) {
             throw new RequestException(
                     ErrorCode.IDEMPOTENCY_KEY_MISSING,
                     Outcome.NOT_RUN,
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/AddressShareViewSource.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/AddressShareViewSource.java
@@ -9,26 +9,27 @@
 import org.jasminehub.core.membership.Member;
 
 /**
- * Shares a workspace's limits over the instances whose addresses its callers get.
+ * Divides the limits of a workspace among the instances whose addresses its callers receive.
  *
- * <p>An instance that is not among them serves callers with an old answer from a part of its own, {@code limit / (n +
- * 1)}; by that much the limit may be exceeded for as long as callers keep old answers. Safe for use by several threads.
+ * <p>An instance that is not in the current address list may still receive requests from callers that cached an older
+ * list. It allows {@code limit / (n + 1)}, where {@code n} is the number of listed instances, so the limit may be
+ * exceeded by that amount until those callers refresh their lists. Safe for use by several threads.
  */
 public final class AddressShareViewSource implements ShareViewSource {
     private final InstanceId self;
-    private final AddressPolicy addresses;
+    private final AddressPolicy addressPolicy;
     private final Supplier<List<Member>> entries;
 
-    /** Creates a source for the instance {@code self} among {@code entries}. */
-    public AddressShareViewSource(InstanceId self, AddressPolicy addresses, Supplier<List<Member>> entries) {
+    /** Creates a source for the instance {@code self}; {@code entries} supplies the entry instances. */
+    public AddressShareViewSource(InstanceId self, AddressPolicy addressPolicy, Supplier<List<Member>> entries) {
         this.self = self;
-        this.addresses = addresses;
+        this.addressPolicy = addressPolicy;
         this.entries = entries;
     }
 
     @Override
     public ShareView viewOf(WorkspaceId workspace) {
-        List<InstanceId> chosen = addresses.choose(workspace, entries.get()).stream()
+        List<InstanceId> chosen = addressPolicy.choose(workspace, entries.get()).stream()
                 .map(Member::id)
                 .toList();
         int rank = chosen.indexOf(self);
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/LimitFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/LimitFilter.java
@@ -17,26 +17,26 @@
 import org.jasminehub.core.limit.ShareView;
 import org.jasminehub.core.limit.WorkspaceLimiter;
 import org.jasminehub.core.time.Clock;
-import org.jasminehub.entry.filter.Answer;
 import org.jasminehub.entry.filter.CallerRequest;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.filter.RequestFilter;
 import org.jasminehub.entry.filter.RequestHandler;
 
-/** Refuses requests over their workspace's limits, with a time to come back. Safe for use by several threads. */
+/** Refuses requests that exceed the limits of their workspace, with a retry delay. Safe for use by several threads. */
 public final class LimitFilter implements RequestFilter {
     private static final int BYTES_PER_TOKEN = 4;
 
     private final Clock clock;
     private final LimitSettings settings;
     private final ShareViewSource views;
-    private final Map<Key, Held> limiters = new ConcurrentHashMap<>();
+    private final Map<Key, LimiterEntry> limiters = new ConcurrentHashMap<>();
 
     private record Key(TeamId team, WorkspaceId workspace) {}
 
-    private record Held(WorkspaceRule rule, ShareView view, WorkspaceLimiter limiter) {}
+    private record LimiterEntry(WorkspaceRule rule, ShareView view, WorkspaceLimiter limiter) {}
 
-    /** Creates a filter without requests. */
+    /** Creates a filter; {@code views} supplies the share of each limit that this instance may use. */
     public LimitFilter(Clock clock, LimitSettings settings, ShareViewSource views) {
         this.clock = clock;
         this.settings = settings;
@@ -44,48 +44,50 @@
     }
 
     @Override
-    public CompletionStage<Answer> handle(RequestContext context, RequestHandler next) {
+    public CompletionStage<CallerResponse> handle(RequestContext context, RequestHandler next) {
         CallerRequest request = context.request();
         WorkspaceLimiter limiter = limiterOf(context);
         LimitDecision decision = limiter.acquire(request.promptTokens() + request.maxAnswerTokens());
         if (decision instanceof LimitDecision.Allowed allowed) {
             Permit permit = new Permit(limiter, allowed);
-            return next.handle(context).handle((answer, failure) -> {
+            return next.handle(context).handle((response, failure) -> {
                 if (failure != null) {
                     permit.release(isNotRun(failure) ? 0 : allowed.chargedTokens());
                     throw failure instanceof CompletionException known ? known : new CompletionException(failure);
                 }
-                return releasedAtEnd(answer, request, permit);
+                return releaseAtEnd(response, request, permit);
             });
         }
         return CompletableFuture.failedFuture(refusal(context, (LimitDecision.Exceeded) decision));
     }
 
-    private static Answer releasedAtEnd(Answer answer, CallerRequest request, Permit permit) {
-        if (answer instanceof Answer.Streamed streamed) {
-            return new Answer.Streamed(
-                    streamed.status(), streamed.contentType(), permit.watch(streamed.body(), request.promptTokens()));
+    private static CallerResponse releaseAtEnd(CallerResponse response, CallerRequest request, Permit permit) {
+        if (response instanceof CallerResponse.Streamed streamed) {
+            return new CallerResponse.Streamed(
+                    streamed.status(),
+                    streamed.contentType(),
+                    permit.releaseAtEnd(streamed.body(), request.promptTokens()));
         }
-        ByteString body = ((Answer.Whole) answer).body();
+        ByteString body = ((CallerResponse.Complete) response).body();
         permit.release(request.promptTokens() + body.length() / BYTES_PER_TOKEN);
-        return answer;
+        return response;
     }
 
     private WorkspaceLimiter limiterOf(RequestContext context) {
         WorkspaceRule rule = context.workspace();
         ShareView view = views.viewOf(rule.workspaceId());
         Key key = new Key(context.document().document().teamId(), rule.workspaceId());
-        Held held = limiters.compute(key, (unused, known) -> {
+        LimiterEntry entry = limiters.compute(key, (unused, known) -> {
             if (known == null || !known.rule().equals(rule)) {
-                return new Held(rule, view, new WorkspaceLimiter(clock, settings, rule, view));
+                return new LimiterEntry(rule, view, new WorkspaceLimiter(clock, settings, rule, view));
             }
             if (!known.view().equals(view)) {
                 known.limiter().viewChanged(view);
-                return new Held(rule, view, known.limiter());
+                return new LimiterEntry(rule, view, known.limiter());
             }
             return known;
         });
-        return held.limiter();
+        return entry.limiter();
     }
 
     private static boolean isNotRun(Throwable failure) {
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/Permit.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/Permit.java
@@ -8,7 +8,9 @@
 import org.jasminehub.core.limit.LimitDecision;
 import org.jasminehub.core.limit.WorkspaceLimiter;
 
-/** A request's place within its workspace's limits, given back once. Safe for use by several threads. */
+/**
+ * A permit of a request within the limits of its workspace. Can be released only once. Safe for use by several threads.
+ */
 final class Permit {
     private final WorkspaceLimiter limiter;
     private final LimitDecision.Allowed allowed;
@@ -25,8 +27,11 @@
         }
     }
 
-    /** Returns the same bytes; their end, however it comes, gives the permit back. Each element counts as a token. */
-    Source<ByteString, NotUsed> watch(Source<ByteString, NotUsed> body, long promptTokens) {
+    /**
+     * Returns {@code body} unchanged, and releases the permit when the stream completes, fails or is cancelled. Each
+     * element counts as one token.
+     */
+    Source<ByteString, NotUsed> releaseAtEnd(Source<ByteString, NotUsed> body, long promptTokens) {
         AtomicLong elements = new AtomicLong();
         return body.map(bytes -> {
                     elements.incrementAndGet();
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/ShareViewSource.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/ShareViewSource.java
@@ -3,9 +3,9 @@
 import org.jasminehub.core.identity.WorkspaceId;
 import org.jasminehub.core.limit.ShareView;
 
-/** Tells an entry instance its place among those that share a workspace's limits. Safe for use by several threads. */
+/** Supplies the rank of this entry instance among those that share a limit. Must be safe for use by several threads. */
 @FunctionalInterface
 public interface ShareViewSource {
-    /** Returns the present place. */
+    /** Returns the current rank among, and number of, the instances that share the limits of {@code workspace}. */
     ShareView viewOf(WorkspaceId workspace);
 }
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Holds workspaces to their limits. */
+/** Enforces the limits of workspaces. */
 @NullMarked
 package org.jasminehub.entry.filter.limit;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeLink.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeClient.java
@@ -15,29 +15,32 @@
 import org.jasminehub.wire.generated.TicketRequest;
 
 /** Sends operation messages to agents. Safe for use by several threads. */
-final class HomeLink {
+final class HomeClient {
     private final EndpointDirectory directory;
 
-    HomeLink(EndpointDirectory directory) {
+    HomeClient(EndpointDirectory directory) {
         this.directory = directory;
     }
 
-    /** Returns the connection to {@code agent}, unless another incarnation answers there. */
+    /** Returns the connection to {@code agent}, or empty if the agent is not connected or has another incarnation. */
     Optional<EndpointLink> find(AgentIncarnation agent) {
         return directory
                 .link(new EndpointId(agent.agent().value()))
                 .filter(link -> link.peer().getIncarnation() == agent.incarnation());
     }
 
-    /** Returns the reply to {@code message}; fails where the agent is gone or silent for {@code timeoutMillis}. */
-    CompletionStage<OperationMessage> ask(AgentIncarnation agent, OperationMessage message, int timeoutMillis) {
+    /**
+     * Returns the reply to {@code message}; fails if the agent is not connected or does not reply within {@code
+     * timeoutMillis}.
+     */
+    CompletionStage<OperationMessage> send(AgentIncarnation agent, OperationMessage message, int timeoutMillis) {
         Optional<EndpointLink> link = find(agent);
         if (link.isEmpty()) {
             return CompletableFuture.failedFuture(new WireException(agent + " is not connected", null));
         }
         ControlRequest.Builder request = ControlRequest.newBuilder()
                 .setTicket(TicketRequest.newBuilder().setIdempotencyKey(OperationMessageCodec.write(message)));
-        return link.get().client().request(request, timeoutMillis).thenApply(HomeLink::messageOf);
+        return link.get().client().request(request, timeoutMillis).thenApply(HomeClient::messageOf);
     }
 
     private static OperationMessage messageOf(ControlReply reply) {
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeTableController.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeTableController.java
@@ -32,48 +32,53 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Follows the tables of homes on the log; the first live entry instance also proposes changes, confirms the tables to
- * agents and carries handovers between them.
+ * Reads the home tables from the log. The coordinator, which is the live entry instance with the smallest id, also
+ * proposes changes, confirms the tables to agents and transfers handovers between agents.
  *
- * <p>Two instances that both think they are first do no harm: the log's order decides between their changes. All
- * methods but {@link #current} run on the control thread.
+ * <p>It is harmless if two instances both act as coordinator, because the order of the log decides which of their
+ * changes applies. All methods except {@link #current} must run on the control thread.
  */
 public final class HomeTableController {
     private static final int MAX_RECORDS = 256;
     private static final int WAIT_MILLIS = 1_000;
-    private static final int REPLY_MILLIS = 1_000;
-    private static final int ROUNDS_TO_SETTLE = 2;
+    private static final int REPLY_TIMEOUT_MILLIS = 1_000;
+    private static final int STABLE_ROUNDS = 2;
 
     private final InstanceId self;
     private final ControlThread control;
     private final LogService log;
     private final EndpointDirectory directory;
-    private final HomeLink homes;
+    private final HomeClient homeClient;
     private final HomeTableReplay replay = new HomeTableReplay();
-    private final Map<AgentIncarnation, Long> seenMillis = new HashMap<>();
-    private final Map<String, Map<AgentIncarnation, Long>> marks = new HashMap<>();
-    private final Map<String, List<AgentIncarnation>> wanted = new HashMap<>();
-    private final Map<String, Integer> wantedRounds = new HashMap<>();
+    /** The monotonic time that each agent last reported, by its own clock. */
+    private final Map<AgentIncarnation, Long> lastReportedMillis = new HashMap<>();
+    /** The reported times to be confirmed when a mark is read back, by the nonce of the mark. */
+    private final Map<String, Map<AgentIncarnation, Long>> pendingMarks = new HashMap<>();
+    /** The agents that were connected in the last round, by service. */
+    private final Map<String, List<AgentIncarnation>> lastConnected = new HashMap<>();
+    /** The number of successive rounds without a change of the connected agents, by service. */
+    private final Map<String, Integer> unchangedRounds = new HashMap<>();
+
     private volatile Map<String, List<HomeTable>> tables = Map.of();
     private long nextOffset;
     private boolean isReading;
 
-    /** Creates a controller of the entry instance {@code self}. */
+    /** Creates the controller of the entry instance {@code self}. */
     public HomeTableController(InstanceId self, ControlThread control, LogService log, EndpointDirectory directory) {
         this.self = self;
         this.control = control;
         this.log = log;
         this.directory = directory;
-        this.homes = new HomeLink(directory);
+        this.homeClient = new HomeClient(directory);
     }
 
-    /** Returns the newest table known of {@code service}; safe for use by several threads. */
+    /** Returns the newest known home table of {@code service}. Safe for use by several threads. */
     public Optional<HomeTable> current(String service) {
         List<HomeTable> known = tables.getOrDefault(service, List.of());
         return known.isEmpty() ? Optional.empty() : Optional.of(known.get(known.size() - 1));
     }
 
-    /** Reads on unless a read is under way. */
+    /** Starts reading the log unless a read is in progress. */
     public void refresh() {
         if (!isReading) {
             isReading = true;
@@ -81,21 +86,21 @@
         }
     }
 
-    /** Does one round of the first instance's work, where this is the first. */
-    public void keep() {
+    /** Runs one round of the coordinator's work if this instance is the coordinator. */
+    public void coordinate() {
         List<Member> members = control.state().members();
-        boolean isFirst = members.stream()
+        boolean isCoordinator = members.stream()
                 .filter(member -> member.role() == MemberRole.ENTRY && member.isLive())
                 .map(Member::id)
                 .min(Comparator.naturalOrder())
                 .filter(self::equals)
                 .isPresent();
-        if (!isFirst) {
+        if (!isCoordinator) {
             return;
         }
         Map<String, List<AgentIncarnation>> connected = connectedHomes(members);
-        connected.forEach(this::proposeWhenSettled);
-        mark(connected);
+        connected.forEach(this::proposeWhenStable);
+        appendMark(connected);
     }
 
     private void onRead(@Nullable LogPage page, @Nullable Throwable failure) {
@@ -114,11 +119,11 @@
         known.ifPresent(record -> {
             if (replay.apply(record)) {
                 tables = replay.all();
-                seenMillis.keySet().forEach(home -> show(home, 0, 0));
+                lastReportedMillis.keySet().forEach(home -> sendTables(home, 0, 0));
             }
-            Map<AgentIncarnation, Long> confirmed = marks.remove(record.nonce());
-            if (confirmed != null) {
-                confirmed.forEach(this::confirm);
+            Map<AgentIncarnation, Long> reportedTimes = pendingMarks.remove(record.nonce());
+            if (reportedTimes != null) {
+                reportedTimes.forEach(this::confirm);
             }
         });
     }
@@ -150,61 +155,72 @@
                 new InstanceId(link.id().value()), link.peer().getIncarnation());
     }
 
-    /** Proposes a table only when the same agents have been seen for a while, so that a short cut moves no keys. */
-    private void proposeWhenSettled(String service, List<AgentIncarnation> members) {
-        boolean isSame = members.equals(wanted.put(service, members));
-        int rounds = isSame ? wantedRounds.merge(service, 1, Integer::sum) : 0;
-        wantedRounds.put(service, rounds);
-        List<AgentIncarnation> present =
+    /**
+     * Proposes a table only after the same agents were connected for several rounds, so that a short disconnection does
+     * not move keys to other homes.
+     */
+    private void proposeWhenStable(String service, List<AgentIncarnation> members) {
+        boolean isSame = members.equals(lastConnected.put(service, members));
+        int rounds = isSame ? unchangedRounds.merge(service, 1, Integer::sum) : 0;
+        unchangedRounds.put(service, rounds);
+        List<AgentIncarnation> currentMembers =
                 current(service).map(HomeTable::members).orElse(List.of());
-        if (rounds >= ROUNDS_TO_SETTLE && !present.equals(members)) {
-            wantedRounds.put(service, 0);
+        if (rounds >= STABLE_ROUNDS && !currentMembers.equals(members)) {
+            unchangedRounds.put(service, 0);
             append(HomeLogRecord.of(new HomeTableChange(service, replay.epoch(service), members), nonce()));
         }
     }
 
-    /** Marks a point of the log; what agents said before it is confirmed when the mark is read. */
-    private void mark(Map<String, List<AgentIncarnation>> connected) {
-        Set<AgentIncarnation> asked = new HashSet<>();
-        connected.values().forEach(asked::addAll);
-        tables.keySet().forEach(service -> current(service).ifPresent(table -> asked.addAll(table.members())));
-        asked.forEach(home -> show(home, 0, 0));
-        seenMillis.keySet().retainAll(asked);
-        if (!seenMillis.isEmpty()) {
+    /**
+     * Appends a mark to the log. When the mark is read back, the table in force at that point of the log is confirmed
+     * to the agents, with the time that each agent reported before the mark was written.
+     */
+    private void appendMark(Map<String, List<AgentIncarnation>> connected) {
+        Set<AgentIncarnation> agents = new HashSet<>();
+        connected.values().forEach(agents::addAll);
+        tables.keySet().forEach(service -> current(service).ifPresent(table -> agents.addAll(table.members())));
+        agents.forEach(home -> sendTables(home, 0, 0));
+        lastReportedMillis.keySet().retainAll(agents);
+        if (!lastReportedMillis.isEmpty()) {
             String nonce = nonce();
-            marks.clear();
-            marks.put(nonce, Map.copyOf(seenMillis));
+            pendingMarks.clear();
+            pendingMarks.put(nonce, Map.copyOf(lastReportedMillis));
             append(HomeLogRecord.mark(nonce));
         }
     }
 
-    private void confirm(AgentIncarnation home, long saidMillis) {
+    private void confirm(AgentIncarnation home, long reportedMillis) {
         String service = serviceOf(home);
-        show(home, replay.epoch(service), saidMillis);
+        sendTables(home, replay.epoch(service), reportedMillis);
     }
 
-    private void show(AgentIncarnation home, long confirmedEpoch, long confirmedMillis) {
+    private void sendTables(AgentIncarnation home, long confirmedEpoch, long confirmedMillis) {
         List<HomeTable> known = tables.getOrDefault(serviceOf(home), List.of());
-        homes.ask(home, new OperationMessage.ShowTables(known, confirmedEpoch, confirmedMillis), REPLY_MILLIS)
-                .thenAcceptAsync(reply -> onNoted(home, reply), control);
+        homeClient
+                .send(
+                        home,
+                        new OperationMessage.ShowTables(known, confirmedEpoch, confirmedMillis),
+                        REPLY_TIMEOUT_MILLIS)
+                .thenAcceptAsync(reply -> onTablesNoted(home, reply), control);
     }
 
-    private void onNoted(AgentIncarnation home, OperationMessage reply) {
+    private void onTablesNoted(AgentIncarnation home, OperationMessage reply) {
         if (reply instanceof OperationMessage.Noted noted) {
-            seenMillis.put(home, noted.nowMillis());
-            noted.missingHandovers().forEach(old -> carryHandover(old, home));
+            lastReportedMillis.put(home, noted.nowMillis());
+            noted.missingHandovers().forEach(old -> transferHandover(old, home));
         }
     }
 
-    private void carryHandover(AgentIncarnation from, AgentIncarnation to) {
+    private void transferHandover(AgentIncarnation from, AgentIncarnation to) {
         Optional<HomeTable> table = current(serviceOf(to));
         if (table.isEmpty()) {
             return;
         }
-        homes.ask(from, new OperationMessage.AskHandover(table.get(), to), REPLY_MILLIS)
+        homeClient
+                .send(from, new OperationMessage.AskHandover(table.get(), to), REPLY_TIMEOUT_MILLIS)
                 .thenAccept(reply -> {
                     if (reply instanceof OperationMessage.HandoverGivenUp given && given.handover() != null) {
-                        homes.ask(to, new OperationMessage.GiveHandover(given.handover()), REPLY_MILLIS);
+                        homeClient.send(to, new OperationMessage.GiveHandover(given.handover()), REPLY_TIMEOUT_MILLIS);
                     }
                 });
     }
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
@@ -19,8 +19,8 @@
 import org.jasminehub.core.operation.OperationStep;
 import org.jasminehub.core.operation.OperationTicket;
 import org.jasminehub.entry.endpoint.EndpointLink;
-import org.jasminehub.entry.filter.Answer;
 import org.jasminehub.entry.filter.CallerRequest;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.relay.CallStarts;
 import org.jasminehub.wire.generated.CallStart;
@@ -28,44 +28,47 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Carries out what an {@link OperationCall} decides: messages and the request itself, to the key's home.
+ * Executes the steps decided by an {@link OperationCall}: sends messages and the request itself to the home of the key.
  *
- * <p>Safe for use by several threads: each event is taken under its lock.
+ * <p>Safe for use by several threads, because each event is processed under a lock.
  */
 final class OperationExchange {
-    private static final int MAX_REPLY_MILLIS = 2_000;
+    private static final int MAX_REPLY_TIMEOUT_MILLIS = 2_000;
 
     private final RequestContext context;
     private final OperationId id;
     private final OperationCall call;
-    private final HomeLink homes;
+    private final HomeClient homeClient;
     private final long remainingMillis;
-    private final CompletableFuture<Answer> answer = new CompletableFuture<>();
+    private final CompletableFuture<CallerResponse> response = new CompletableFuture<>();
 
     OperationExchange(
-            RequestContext context, OperationId id, OperationCall call, HomeLink homes, long remainingMillis) {
+            RequestContext context, OperationId id, OperationCall call, HomeClient homeClient, long remainingMillis) {
         this.context = context;
         this.id = id;
         this.call = call;
-        this.homes = homes;
+        this.homeClient = homeClient;
         this.remainingMillis = Math.max(1, remainingMillis);
     }
 
-    /** Leads the operation to its answer. */
-    CompletionStage<Answer> run() {
+    /** Runs the operation and returns its response. */
+    CompletionStage<CallerResponse> run() {
         return start(call::begin);
     }
 
-    /** Proves that a request that is refused here for {@code code} has not run, or says what is known. */
-    CompletionStage<Answer> refuse(ErrorCode code) {
+    /**
+     * Asks the home to confirm that a request that was refused here with {@code code} has not run, and returns the
+     * outcome.
+     */
+    CompletionStage<CallerResponse> refuse(ErrorCode code) {
         return start(() -> call.beginRefused(code));
     }
 
-    private CompletionStage<Answer> start(Supplier<OperationStep> begin) {
+    private CompletionStage<CallerResponse> start(Supplier<OperationStep> begin) {
         CompletableFuture.delayedExecutor(remainingMillis, TimeUnit.MILLISECONDS)
                 .execute(() -> advance(OperationCall::onDeadlineExceeded));
         advance(begun -> begin.get());
-        return answer;
+        return response;
     }
 
     private void advance(Function<OperationCall, OperationStep> event) {
@@ -73,18 +76,19 @@
         synchronized (this) {
             step = event.apply(call);
         }
-        act(step);
+        executeStep(step);
     }
 
-    private void act(OperationStep step) {
-        if (step instanceof OperationStep.RequestTicket ask) {
-            ask(ask.home(), new OperationMessage.AskTicket(id, digest()), OperationCall::onTicketReply);
-        } else if (step instanceof OperationStep.RequestRevocation ask) {
-            ask(ask.home(), new OperationMessage.AskRevocation(id, digest()), OperationCall::onRevocationReply);
-        } else if (step instanceof OperationStep.SendRequest send) {
-            send(send.ticket());
-        } else if (step instanceof OperationStep.AnswerCaller last) {
-            conclude(last.answer());
+    private void executeStep(OperationStep step) {
+        if (step instanceof OperationStep.RequestTicket request) {
+            sendToHome(request.home(), new OperationMessage.AskTicket(id, digest()), OperationCall::onTicketReply);
+        } else if (step instanceof OperationStep.RequestRevocation request) {
+            sendToHome(
+                    request.home(), new OperationMessage.AskRevocation(id, digest()), OperationCall::onRevocationReply);
+        } else if (step instanceof OperationStep.SendRequest sending) {
+            sendRequest(sending.ticket());
+        } else if (step instanceof OperationStep.AnswerCaller finalStep) {
+            completeWith(finalStep.answer());
         }
     }
 
@@ -94,48 +98,51 @@
                 request.method(), request.path(), request.body().toArray());
     }
 
-    /** Hands a reply's decision to the call. */
+    /** Passes the decision in a reply to the call. */
     @FunctionalInterface
-    private interface ReplyEvent {
-        OperationStep take(OperationCall call, GuardDecision decision);
+    private interface ReplyHandler {
+        OperationStep apply(OperationCall call, GuardDecision decision);
     }
 
-    private void ask(AgentIncarnation home, OperationMessage message, ReplyEvent event) {
-        int timeoutMillis = (int) Math.min(MAX_REPLY_MILLIS, remainingMillis);
-        homes.ask(home, message, timeoutMillis)
-                .whenComplete((reply, failure) -> advance(waiting -> takeReply(waiting, reply, event)));
+    private void sendToHome(AgentIncarnation home, OperationMessage message, ReplyHandler handler) {
+        int timeoutMillis = (int) Math.min(MAX_REPLY_TIMEOUT_MILLIS, remainingMillis);
+        homeClient
+                .send(home, message, timeoutMillis)
+                .whenComplete((reply, failure) -> advance(waiting -> applyReply(waiting, reply, handler)));
     }
 
-    private static OperationStep takeReply(OperationCall call, @Nullable OperationMessage reply, ReplyEvent event) {
+    private static OperationStep applyReply(
+            OperationCall call, @Nullable OperationMessage reply, ReplyHandler handler) {
         return reply instanceof OperationMessage.Decided decided
-                ? event.take(call, decided.decision())
+                ? handler.apply(call, decided.decision())
                 : call.onHomeLost();
     }
 
-    private void send(OperationTicket ticket) {
-        EndpointLink link = homes.find(ticket.issuer()).orElse(null);
+    private void sendRequest(OperationTicket ticket) {
+        EndpointLink link = homeClient.find(ticket.issuer()).orElse(null);
         if (link == null) {
             advance(OperationCall::onHomeLost);
             return;
         }
-        Header carried = Header.newBuilder()
+        Header ticketHeader = Header.newBuilder()
                 .setName(OperationTicket.HEADER)
                 .setValue(OperationMessageCodec.writeTicket(ticket))
                 .build();
-        CallStart.Builder start = CallStarts.of(context, 1, 0, remainingMillis).addHeaders(carried);
-        link.call(start, 1, new OperationAnswerListener(link, context.request().id(), this::advance));
+        CallStart.Builder start = CallStarts.of(context, 1, 0, remainingMillis).addHeaders(ticketHeader);
+        link.call(
+                start, 1, new OperationResponseListener(link, context.request().id(), this::advance));
     }
 
-    private void conclude(OperationAnswer last) {
-        if (last.result() != null) {
-            answer.complete(new Answer.Whole(
-                    last.result().status(),
-                    last.result().contentType(),
-                    ByteString.fromArray(last.result().body())));
+    private void completeWith(OperationAnswer operationAnswer) {
+        if (operationAnswer.result() != null) {
+            response.complete(new CallerResponse.Complete(
+                    operationAnswer.result().status(),
+                    operationAnswer.result().contentType(),
+                    ByteString.fromArray(operationAnswer.result().body())));
             return;
         }
-        ErrorCode code = last.code() == null ? ErrorCode.OUTCOME_UNKNOWN : last.code();
-        answer.completeExceptionally(
-                new RequestException(code, last.outcome(), "operation " + id + ": " + code.code()));
+        ErrorCode code = operationAnswer.code() == null ? ErrorCode.OUTCOME_UNKNOWN : operationAnswer.code();
+        response.completeExceptionally(
+                new RequestException(code, operationAnswer.outcome(), "operation " + id + ": " + code.code()));
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationFilter.java
@@ -11,52 +11,54 @@
 import org.jasminehub.core.operation.OperationId;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.entry.endpoint.EndpointDirectory;
-import org.jasminehub.entry.filter.Answer;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.filter.RequestFilter;
 import org.jasminehub.entry.filter.RequestHandler;
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends requests that must not be repeated to the home of their key and proves every "not run".
+ * Sends non-idempotent requests to the home of their key and confirms each outcome "not run" with the home.
  *
- * <p>It stands first in the chain, so that a refusal by a later step is answered as "not run" only with the home's
- * proof; {@link #terminal} stands last and takes the place of the relay for these requests. Safe for use by several
- * threads.
+ * <p>This filter precedes all filters that can refuse a request, so that a refusal is returned as "not run" only after
+ * the home of the key has confirmed it. The handler returned by {@link #terminal} is the last step of the chain and
+ * replaces the relay for these requests. Safe for use by several threads.
  */
 public final class OperationFilter implements RequestFilter {
-    private final HomeLink homes;
+    private final HomeClient homeClient;
     private final HomeTableController tables;
     private final Clock clock;
     private final EventSink events;
 
-    /** Creates a filter that finds homes by {@code tables}. */
+    /** Creates a filter that finds the homes of keys in {@code tables}. */
     public OperationFilter(EndpointDirectory directory, HomeTableController tables, Clock clock, EventSink events) {
-        this.homes = new HomeLink(directory);
+        this.homeClient = new HomeClient(directory);
         this.tables = tables;
         this.clock = clock;
         this.events = events;
     }
 
     @Override
-    public CompletionStage<Answer> handle(RequestContext context, RequestHandler next) {
-        if (context.isRepeatable()) {
+    public CompletionStage<CallerResponse> handle(RequestContext context, RequestHandler next) {
+        if (context.isIdempotent()) {
             return next.handle(context);
         }
         return next.handle(context)
-                .handle((answer, failure) ->
-                        failure == null ? CompletableFuture.completedFuture(answer) : prove(context, failure))
+                .handle((response, failure) ->
+                        failure == null ? CompletableFuture.completedFuture(response) : confirmNotRun(context, failure))
                 .thenCompose(stage -> stage);
     }
 
-    /** Returns the last step of the chain: it runs operations, and hands all other requests to {@code relay}. */
+    /**
+     * Returns the last step of the chain, which runs operations itself and passes all other requests to {@code relay}.
+     */
     public RequestHandler terminal(RequestHandler relay) {
-        return context -> context.isRepeatable()
+        return context -> context.isIdempotent()
                 ? relay.handle(context)
                 : exchange(context).run();
     }
 
-    private CompletionStage<Answer> prove(RequestContext context, Throwable failure) {
+    private CompletionStage<CallerResponse> confirmNotRun(RequestContext context, Throwable failure) {
         RequestException refusal = refusalOf(failure);
         if (refusal == null || refusal.outcome() != Outcome.NOT_RUN) {
             return CompletableFuture.failedFuture(failure);
@@ -71,7 +73,7 @@
                 Objects.requireNonNull(context.request().idempotencyKey()));
         OperationCall call =
                 new OperationCall(id, context.deadlineMillis(), () -> tables.current(id.service()), clock, events);
-        return new OperationExchange(context, id, call, homes, context.deadlineMillis() - clock.monotonicMillis());
+        return new OperationExchange(context, id, call, homeClient, context.deadlineMillis() - clock.monotonicMillis());
     }
 
     private static @Nullable RequestException refusalOf(Throwable failure) {
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationKeyPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationKeyPage.java
@@ -17,36 +17,43 @@
 import org.jasminehub.entry.endpoint.EndpointLink;
 
 /**
- * {@code POST /v1/operation-keys?service=NAME}: gives a caller a key that a live agent runs, also while the log is down.
+ * Handles {@code POST /v1/operation-keys?service=NAME}: issues an operation key whose home is a live agent of the
+ * service.
  *
- * <p>Safe for use by several threads.
+ * <p>This also works while the log is unavailable. Safe for use by several threads.
  */
 public final class OperationKeyPage {
-    private static final int REPLY_MILLIS = 2_000;
+    private static final int REPLY_TIMEOUT_MILLIS = 2_000;
     private static final int STATUS_CREATED = 201;
     private static final long RETRY_AFTER_MILLIS = 500;
 
     private final EndpointDirectory directory;
-    private final HomeLink homes;
+    private final HomeClient homeClient;
 
-    /** Creates a page that asks the agents in {@code directory}. */
+    /** Creates a page that requests keys from the agents in {@code directory}. */
     public OperationKeyPage(EndpointDirectory directory) {
         this.directory = directory;
-        this.homes = new HomeLink(directory);
+        this.homeClient = new HomeClient(directory);
     }
 
-    /** Answers {@code request}; fails with {@link RequestException} where no agent of the service is live. */
+    /**
+     * Returns the response to {@code request}; fails with {@link RequestException} if no agent of the service is
+     * available.
+     */
     public CompletionStage<HttpResponse> handle(HttpRequest request) {
         String service = request.getUri().query().get("service").orElse("");
         if (service.isBlank()) {
             return CompletableFuture.failedFuture(new RequestException(
                     ErrorCode.REQUEST_MALFORMED, Outcome.NOT_RUN, "the query parameter service is missing"));
         }
-        return ask(directory.usable(Target.service(service)), service);
+        return requestKey(directory.usable(Target.service(service)), service);
     }
 
-    /** Asks the first agent and, where that fails, the others: a key that nobody has got harms nobody. */
-    private CompletionStage<HttpResponse> ask(List<EndpointLink> links, String service) {
+    /**
+     * Requests a key from the agents in turn until one replies. A key whose reply is lost does no harm, as nobody uses
+     * it.
+     */
+    private CompletionStage<HttpResponse> requestKey(List<EndpointLink> links, String service) {
         if (links.isEmpty()) {
             return CompletableFuture.failedFuture(new RequestException(
                     ErrorCode.NO_ENDPOINT, Outcome.NOT_RUN, RETRY_AFTER_MILLIS, "no agent serves " + service));
@@ -54,14 +61,15 @@
         EndpointLink first = links.get(0);
         AgentIncarnation agent = new AgentIncarnation(
                 new InstanceId(first.id().value()), first.peer().getIncarnation());
-        return homes.ask(agent, new OperationMessage.AskKey(), REPLY_MILLIS)
+        return homeClient
+                .send(agent, new OperationMessage.AskKey(), REPLY_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> reply instanceof OperationMessage.KeyIssued issued
-                        ? CompletableFuture.completedFuture(answer(issued))
-                        : ask(links.subList(1, links.size()), service))
+                        ? CompletableFuture.completedFuture(toResponse(issued))
+                        : requestKey(links.subList(1, links.size()), service))
                 .thenCompose(stage -> stage);
     }
 
-    private static HttpResponse answer(OperationMessage.KeyIssued issued) {
+    private static HttpResponse toResponse(OperationMessage.KeyIssued issued) {
         return HttpResponse.create()
                 .withStatus(STATUS_CREATED)
                 .withEntity(ContentTypes.APPLICATION_JSON, "{\"key\":\"" + issued.key() + "\"}");
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationAnswerListener.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationResponseListener.java
@@ -26,8 +26,8 @@
 import org.jasminehub.wire.generated.AnswerRefused;
 import org.jasminehub.wire.generated.Header;
 
-/** Collects the one answer to an operation's request; called on a thread of the transport. */
-final class OperationAnswerListener implements AnswerListener {
+/** Collects the response to the request of an operation. Called on an I/O thread, must not block. */
+final class OperationResponseListener implements AnswerListener {
     private static final int ATTEMPT = 1;
 
     private final EndpointLink link;
@@ -37,7 +37,7 @@
     private final AtomicBoolean isEnded = new AtomicBoolean();
     private AnswerHead head = AnswerHead.getDefaultInstance();
 
-    OperationAnswerListener(
+    OperationResponseListener(
             EndpointLink link, RequestId requestId, Consumer<Function<OperationCall, OperationStep>> events) {
         this.link = link;
         this.requestId = requestId;
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/package-info.java
@@ -1,4 +1,4 @@
-/** The entry instance's side of operations that run at most once. */
+/** Operations that run at most once, on the side of the entry instance. */
 @NullMarked
 package org.jasminehub.entry.filter.operation;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/package-info.java
@@ -1,4 +1,4 @@
-/** The filter chain that a request passes. */
+/** The filter chain that processes every request. */
 @NullMarked
 package org.jasminehub.entry.filter;
 
--- a/entry/src/main/java/org/jasminehub/entry/http/AddressPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/AddressPage.java
@@ -14,7 +14,9 @@
 import org.jasminehub.entry.EntrySettings;
 import org.jasminehub.entry.control.ControlState;
 
-/** Answers which entry instances a workspace's callers should connect to. Safe for use by several threads. */
+/**
+ * Serves the addresses of the entry instances that callers of a workspace should use. Safe for use by several threads.
+ */
 final class AddressPage {
     private final Supplier<ControlState> state;
     private final AddressPolicy policy;
@@ -34,7 +36,7 @@
             return CompletableFuture.failedFuture(RequestReader.malformed("the query needs workspace=NAME"));
         }
         List<Member> entries = state.get().membersOf(MemberRole.ENTRY).stream()
-                .filter(this::isNamed)
+                .filter(this::isListed)
                 .toList();
         List<String> addresses = policy.choose(new WorkspaceId(workspace), entries).stream()
                 .map(member -> member.host() + ":" + member.callerPort())
@@ -43,11 +45,11 @@
                 Responses.json(new AddressesJson(addresses, settings.addressTtlMillis())));
     }
 
-    private boolean isNamed(Member member) {
+    private boolean isListed(Member member) {
         boolean isSelf = member.id().value().equals(settings.instance());
         return !(isSelf && isLeaving.getAsBoolean());
     }
 
-    /** The answer: addresses, the preferred one first, and how long they may be kept. */
+    /** The response body: the addresses in order of preference and how long callers may cache them. */
     record AddressesJson(List<String> addresses, int ttlMillis) {}
 }
--- a/entry/src/main/java/org/jasminehub/entry/http/CallerServer.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/CallerServer.java
@@ -23,7 +23,7 @@
 import org.jasminehub.entry.filter.Failures;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.filter.RequestHandler;
-import org.jasminehub.entry.filter.RequestIdentifier;
+import org.jasminehub.entry.filter.RequestMatcher;
 
 /**
  * The HTTP server for callers and operators.
@@ -37,7 +37,7 @@
 
     private final ActorSystem<?> system;
     private final RequestReader reader;
-    private final RequestIdentifier identifier;
+    private final RequestMatcher matcher;
     private final RequestHandler chain;
     private final EventSink events;
     private final int maxBodyBytes;
@@ -54,14 +54,14 @@
             String host,
             int port,
             RequestReader reader,
-            RequestIdentifier identifier,
+            RequestMatcher matcher,
             RequestHandler chain,
             Map<String, Function<HttpRequest, CompletionStage<HttpResponse>>> pages,
             EventSink events,
             int maxBodyBytes) {
         this.system = system;
         this.reader = reader;
-        this.identifier = identifier;
+        this.matcher = matcher;
         this.chain = chain;
         this.events = events;
         this.maxBodyBytes = maxBodyBytes;
@@ -73,12 +73,12 @@
                 .join();
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return binding.localAddress().getPort();
     }
 
-    /** Stops accepting connections; those that are open go on. */
+    /** Stops accepting new connections. Open connections stay open. */
     public void stopAccepting() {
         binding.unbind();
     }
@@ -93,16 +93,16 @@
         Function<HttpRequest, CompletionStage<HttpResponse>> page = pages.get(path);
         if (page != null) {
             request.discardEntityBytes(system);
-            return answerProblems(request, page.apply(request));
+            return recoverWithProblem(request, page.apply(request));
         }
         if (path.equals(RequestReader.CHAT_PATH)) {
-            return answerProblems(request, serve(request, reader::readChat));
+            return recoverWithProblem(request, serve(request, reader::readChat));
         }
         if (path.startsWith(RequestReader.SERVICES_PREFIX)) {
-            return answerProblems(request, serve(request, reader::readService));
+            return recoverWithProblem(request, serve(request, reader::readService));
         }
         request.discardEntityBytes(system);
-        return answerProblems(
+        return recoverWithProblem(
                 request,
                 CompletableFuture.failedFuture(new RequestException(
                         ErrorCode.ROUTE_UNKNOWN, Outcome.NOT_RUN, "nothing is served at " + path)));
@@ -114,13 +114,14 @@
                 .toStrict(BODY_TIMEOUT_MILLIS, system)
                 .thenCompose(body -> {
                     CallerRequest parsed = bodyReader.read(request, body.getData());
-                    RequestContext context = identifier.identify(parsed);
+                    RequestContext context = matcher.match(parsed);
                     return chain.handle(context);
                 })
                 .thenApply(Responses::of);
     }
 
-    private CompletionStage<HttpResponse> answerProblems(HttpRequest request, CompletionStage<HttpResponse> response) {
+    private CompletionStage<HttpResponse> recoverWithProblem(
+            HttpRequest request, CompletionStage<HttpResponse> response) {
         return response.exceptionally(failure -> {
             RequestException problem = toRequestException(failure);
             events.emit(new RequestFailed(
@@ -147,7 +148,7 @@
         return Failures.toRequestException(cause);
     }
 
-    /** Parses a request whose body is at hand. */
+    /** Parses a request after its complete body was received. */
     @FunctionalInterface
     private interface BodyReader {
         CallerRequest read(HttpRequest request, ByteString body);
--- a/entry/src/main/java/org/jasminehub/entry/http/CallerServerFactory.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/CallerServerFactory.java
@@ -11,10 +11,10 @@
 import org.jasminehub.entry.EntrySettings;
 import org.jasminehub.entry.control.ControlState;
 import org.jasminehub.entry.filter.RequestHandler;
-import org.jasminehub.entry.filter.RequestIdentifier;
+import org.jasminehub.entry.filter.RequestMatcher;
 import org.jasminehub.entry.filter.operation.OperationKeyPage;
 
-/** Starts the HTTP server with all its pages. Safe for use by several threads. */
+/** Starts the HTTP server and registers its pages. Safe for use by several threads. */
 public final class CallerServerFactory {
     private final ActorSystem<?> system;
     private final EntrySettings settings;
@@ -24,7 +24,7 @@
     private final Clock clock;
     private final EventSink events;
 
-    /** Creates a factory; {@code ids} names each request. */
+    /** Creates a factory; {@code ids} supplies a unique id for each request. */
     public CallerServerFactory(
             ActorSystem<?> system,
             EntrySettings settings,
@@ -43,8 +43,11 @@
     }
 
     /**
-     * Starts a server that answers requests with {@code chain} and operation keys with {@code operationKeys}; it names itself to callers unless
-     * {@code isLeaving}.
+     * Starts a server.
+     *
+     * @param chain handles the requests of callers
+     * @param operationKeys the page that issues operation keys
+     * @param isLeaving whether this instance is leaving; its address is then omitted from the address page
      */
     public CallerServer start(RequestHandler chain, OperationKeyPage operationKeys, BooleanSupplier isLeaving) {
         AddressPage addressPage = new AddressPage(state, addresses, settings, isLeaving);
@@ -54,7 +57,7 @@
                 settings.host(),
                 settings.callerPort(),
                 new RequestReader(clock, ids),
-                new RequestIdentifier(state),
+                new RequestMatcher(state),
                 chain,
                 Map.of(
                         "/v1/addresses",
--- a/entry/src/main/java/org/jasminehub/entry/http/RequestFailed.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/RequestFailed.java
@@ -6,13 +6,13 @@
 /**
  * A request got a problem document as its final answer.
  *
- * @param method the HTTP method
- * @param path the path
- * @param workspace the workspace that the caller named
- * @param code the stable code
- * @param outcome what is known of the request's effect
- * @param retryAfterMillis when the caller was told to come back, negative for never
- * @param reason what happened
+ * @param method the HTTP method of the request
+ * @param path the path of the request
+ * @param workspace the workspace given by the caller
+ * @param code the stable error code
+ * @param outcome whether the request ran, as far as it is known
+ * @param retryAfterMillis the delay after which the caller may retry, or negative if a retry makes no difference
+ * @param reason a description of the failure
  */
 public record RequestFailed(
         String method, String path, String workspace, String code, String outcome, long retryAfterMillis, String reason)
--- a/entry/src/main/java/org/jasminehub/entry/http/RequestReader.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/RequestReader.java
@@ -19,7 +19,7 @@
 import org.jasminehub.entry.filter.CallerRequest;
 import org.jspecify.annotations.Nullable;
 
-/** Reads callers' requests and refuses what cannot be parsed. Safe for use by several threads. */
+/** Parses callers' requests and rejects malformed ones. Safe for use by several threads. */
 final class RequestReader {
     static final String CHAT_PATH = "/v1/chat/completions";
     static final String SERVICES_PREFIX = "/services/";
@@ -36,7 +36,7 @@
     private final Clock clock;
     private final Supplier<RequestId> ids;
 
-    /** Creates a reader; {@code ids} names each request. */
+    /** Creates a reader; {@code ids} supplies a unique id for each request. */
     RequestReader(Clock clock, Supplier<RequestId> ids) {
         this.clock = clock;
         this.ids = ids;
--- a/entry/src/main/java/org/jasminehub/entry/http/Responses.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/Responses.java
@@ -13,10 +13,10 @@
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.error.Outcome;
 import org.jasminehub.core.error.RequestException;
-import org.jasminehub.entry.filter.Answer;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.Problem;
 
-/** Makes HTTP responses of answers and failures. */
+/** Converts caller responses and failures to HTTP responses. */
 final class Responses {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -24,13 +24,13 @@
 
     private Responses() {}
 
-    static HttpResponse of(Answer answer) {
-        HttpResponse response = HttpResponse.create().withStatus(answer.status());
-        ContentType contentType = ContentTypes.parse(answer.contentType());
-        if (answer instanceof Answer.Streamed streamed) {
+    static HttpResponse of(CallerResponse callerResponse) {
+        HttpResponse response = HttpResponse.create().withStatus(callerResponse.status());
+        ContentType contentType = ContentTypes.parse(callerResponse.contentType());
+        if (callerResponse instanceof CallerResponse.Streamed streamed) {
             return response.withEntity(HttpEntities.createChunked(contentType, streamed.body()));
         }
-        return response.withEntity(HttpEntities.create(contentType, ((Answer.Whole) answer).body()));
+        return response.withEntity(HttpEntities.create(contentType, ((CallerResponse.Complete) callerResponse).body()));
     }
 
     static HttpResponse problem(RequestException failure) {
--- a/entry/src/main/java/org/jasminehub/entry/http/StatusPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/StatusPage.java
@@ -9,7 +9,7 @@
 import org.jasminehub.entry.control.ControlState;
 import org.jasminehub.platform.list.MemberJson;
 
-/** Answers operators what this instance has in force and whom it knows. Safe for use by several threads. */
+/** Serves the documents in force and the known members to operators. Safe for use by several threads. */
 final class StatusPage {
     private final String instance;
     private final Supplier<ControlState> state;
@@ -29,9 +29,9 @@
                 Responses.json(new StatusJson(instance, now.isCurrent(), versions, members)));
     }
 
-    /** The answer. */
+    /** The response body. */
     record StatusJson(String instance, boolean current, List<VersionJson> documents, List<MemberJson> members) {}
 
-    /** A team's version in force. */
+    /** The version of a team's document that is in force. */
     record VersionJson(String team, long version) {}
 }
--- a/entry/src/main/java/org/jasminehub/entry/http/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' and operators' HTTP interface. */
+/** The HTTP interface for callers and operators. */
 @NullMarked
 package org.jasminehub.entry.http;
 
--- a/entry/src/main/java/org/jasminehub/entry/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry instance: callers' interface, filter chain, relay to agents, and controllers of what it knows. */
+/** The entry instance: the HTTP interface, the filter chain, the relay to agents, and the controllers of its state. */
 @NullMarked
 package org.jasminehub.entry;
 
--- a/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
@@ -20,10 +20,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One attempt of a request at one endpoint: its head, then its signals in order.
+ * One attempt to run a request at one endpoint: receives the head of the response and then its signals in order.
  *
- * <p>Chunks wait here until they are polled; the endpoint sends no more than it has credit for, so the queue is bounded
- * by the initial credit. Safe for use by several threads.
+ * <p>Chunks are queued until they are polled. The endpoint sends no more chunks than it has credit for, so the initial
+ * credit bounds the queue. Safe for use by several threads.
  */
 final class Attempt implements AnswerListener {
     private static final long RETRY_AFTER_MILLIS = 200;
@@ -34,8 +34,8 @@
     private final Clock clock;
     private final long startedMillis;
     private final CompletableFuture<AnswerHead> head = new CompletableFuture<>();
-    private final Queue<AnswerSignal> signals = new ArrayDeque<>();
-    private Runnable wakeUp = () -> {};
+    private final Queue<ResponseSignal> signals = new ArrayDeque<>();
+    private Runnable signalListener = () -> {};
     private @Nullable Cancellable deadline;
     private int receivedChunks;
     private boolean ended;
@@ -50,8 +50,13 @@
     }
 
     /**
-     * Sends {@code start} over {@code link}; {@code workTokens} is what it is expected to cost, {@code estimateMillis} how
-     * long its first token is expected to take, 0 where nothing is expected.
+     * Starts an attempt.
+     *
+     * @param link the connection to the endpoint's agent
+     * @param start the message to send
+     * @param workTokens the expected cost of the request
+     * @param estimateMillis the expected time to the first token, or 0 if there is no estimate
+     * @param clock the clock
      */
     static Attempt start(
             EndpointLink link, CallStart.Builder start, long workTokens, double estimateMillis, Clock clock) {
@@ -63,16 +68,16 @@
         return attempt;
     }
 
-    /** Ends the attempt after {@code millis} unless it has ended by then or {@link #forgetDeadline} was called. */
-    void expireAfter(long millis, DelayedExecutor delays) {
+    /** Fails the attempt after {@code millis} unless it has ended or {@link #cancelDeadline} was called before. */
+    void startDeadline(long millis, DelayedExecutor delays) {
         Cancellable timer = delays.execute(this::expire, millis);
         synchronized (this) {
             deadline = timer;
         }
     }
 
-    /** Lets an answer that has begun go on past the deadline. */
-    void forgetDeadline() {
+    /** Cancels the deadline, so that a response that has begun may continue beyond it. */
+    void cancelDeadline() {
         Cancellable timer;
         synchronized (this) {
             timer = deadline;
@@ -82,39 +87,41 @@
         }
     }
 
-    /** Completes with the head, or with a {@link RequestException} where there is none. */
+    /** Returns a stage that completes with the head, or with a {@link RequestException} if no head arrives. */
     CompletionStage<AnswerHead> head() {
         return head;
     }
 
-    /** Sets what runs when a signal arrives; it must not block. */
-    synchronized void onSignal(Runnable newWakeUp) {
-        wakeUp = newWakeUp;
+    /** Sets the listener that is called when a signal arrives. It must not block. */
+    synchronized void setSignalListener(Runnable newListener) {
+        signalListener = newListener;
     }
 
-    /** Returns the next signal, or null where none waits; a chunk that is taken makes room for another. */
+    /**
+     * Returns the next signal, or null if there is none. Polling a chunk grants the endpoint credit for another one.
+     */
     @Nullable
-    AnswerSignal poll() {
-        AnswerSignal signal;
-        OutgoingCall present;
+    ResponseSignal poll() {
+        ResponseSignal signal;
+        OutgoingCall currentCall;
         synchronized (this) {
             signal = signals.poll();
-            present = call;
+            currentCall = call;
         }
-        if (signal instanceof AnswerSignal.Chunk && present != null) {
-            present.credit(1);
+        if (signal instanceof ResponseSignal.Chunk && currentCall != null) {
+            currentCall.credit(1);
         }
         return signal;
     }
 
-    /** Tells the endpoint that nobody waits any more. */
+    /** Cancels the call at the endpoint and ends the attempt. */
     void cancel() {
-        OutgoingCall present;
+        OutgoingCall currentCall;
         synchronized (this) {
-            present = call;
+            currentCall = call;
         }
-        if (present != null) {
-            present.cancel();
+        if (currentCall != null) {
+            currentCall.cancel();
         }
         finish(null);
     }
@@ -135,13 +142,13 @@
             link.recordFirstToken(estimateMillis, clock.monotonicMillis() - startedMillis);
         }
         receivedChunks++;
-        offer(new AnswerSignal.Chunk(chunk.getData()));
+        offer(new ResponseSignal.Chunk(chunk.getData()));
     }
 
     @Override
     public void onEnd(AnswerEnd end) {
         if (end.getChunks() == receivedChunks) {
-            finish(new AnswerSignal.End());
+            finish(new ResponseSignal.End());
             return;
         }
         fail(new RequestException(
@@ -173,10 +180,10 @@
 
     private void fail(RequestException failure) {
         head.completeExceptionally(failure);
-        finish(new AnswerSignal.Failed(failure));
+        finish(new ResponseSignal.Failed(failure));
     }
 
-    private void finish(@Nullable AnswerSignal last) {
+    private void finish(@Nullable ResponseSignal last) {
         synchronized (this) {
             if (ended) {
                 return;
@@ -187,35 +194,35 @@
             }
         }
         link.callEnded();
-        judge(last);
-        forgetDeadline();
-        wake();
+        recordResult(last);
+        cancelDeadline();
+        notifySignalListener();
     }
 
-    private void judge(@Nullable AnswerSignal last) {
-        if (last instanceof AnswerSignal.End) {
+    private void recordResult(@Nullable ResponseSignal last) {
+        if (last instanceof ResponseSignal.End) {
             link.recordAttempt(true);
-        } else if (last instanceof AnswerSignal.Failed failed
+        } else if (last instanceof ResponseSignal.Failed failed
                 && failed.failure().outcome() == Outcome.UNKNOWN) {
             link.recordAttempt(false);
         }
     }
 
-    private void offer(AnswerSignal signal) {
+    private void offer(ResponseSignal signal) {
         synchronized (this) {
             if (ended) {
                 return;
             }
             signals.add(signal);
         }
-        wake();
+        notifySignalListener();
     }
 
-    private void wake() {
-        Runnable present;
+    private void notifySignalListener() {
+        Runnable currentListener;
         synchronized (this) {
-            present = wakeUp;
+            currentListener = signalListener;
         }
-        present.run();
+        currentListener.run();
     }
 }
--- a/entry/src/main/java/org/jasminehub/entry/relay/CallStarts.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/CallStarts.java
@@ -7,13 +7,20 @@
 import org.jasminehub.wire.generated.CallStart;
 import org.jasminehub.wire.generated.PriorityClass;
 
-/** Turns a request into the message that asks an agent to run it. */
+/** Creates the messages that start calls at agents. */
 public final class CallStarts {
     static final int INITIAL_CREDIT_CHUNKS = 32;
 
     private CallStarts() {}
 
-    /** Returns the message of one attempt. */
+    /**
+     * Returns the message that starts one attempt.
+     *
+     * @param context the request
+     * @param attempt the number of the attempt, counted from 1
+     * @param resumeFromEvent the number of response chunks to skip because the caller already has them
+     * @param remainingMillis the time until the request's deadline
+     */
     public static CallStart.Builder of(RequestContext context, int attempt, int resumeFromEvent, long remainingMillis) {
         CallerRequest request = context.request();
         CallStart.Builder start = CallStart.newBuilder()
--- a/entry/src/main/java/org/jasminehub/entry/relay/DelayedExecutor.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/DelayedExecutor.java
@@ -2,9 +2,9 @@
 
 import org.apache.pekko.actor.Cancellable;
 
-/** Runs tasks later; must be safe for use by several threads. */
+/** Runs tasks after a delay. Implementations must be safe for use by several threads. */
 @FunctionalInterface
 public interface DelayedExecutor {
-    /** Runs {@code task} in {@code delayMillis} unless it is cancelled first. */
+    /** Runs {@code task} after {@code delayMillis} unless the returned handle is cancelled before. */
     Cancellable execute(Runnable task, long delayMillis);
 }
--- a/entry/src/main/java/org/jasminehub/entry/relay/EndpointChosen.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/EndpointChosen.java
@@ -6,14 +6,14 @@
 /**
  * An endpoint was chosen for an attempt.
  *
- * @param requestId the request
- * @param workspace its workspace
- * @param route its route
- * @param attempt the attempt, counted from 1
- * @param endpoint the endpoint
- * @param estimateMillis the estimated time to the first token, 0 where none is made
- * @param considered how many endpoints were compared
- * @param reason why this one
+ * @param requestId the id of the request
+ * @param workspace the workspace of the request
+ * @param route the route of the request
+ * @param attempt the number of the attempt, counted from 1
+ * @param endpoint the chosen endpoint
+ * @param estimateMillis the estimated time to the first token, or 0 if there is no estimate
+ * @param considered the number of endpoints that were compared
+ * @param reason why the endpoint was chosen
  */
 public record EndpointChosen(
         String requestId,
--- a/entry/src/main/java/org/jasminehub/entry/relay/RelayHandler.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/RelayHandler.java
@@ -15,17 +15,18 @@
 import org.jasminehub.core.routing.EndpointPolicy;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.entry.endpoint.EndpointDirectory;
-import org.jasminehub.entry.filter.Answer;
+import org.jasminehub.entry.filter.CallerResponse;
 import org.jasminehub.entry.filter.RequestContext;
 import org.jasminehub.entry.filter.RequestHandler;
 import org.jasminehub.wire.generated.AnswerHead;
 import org.jasminehub.wire.generated.Header;
 
 /**
- * The last step of the filter chain: sends the request to an endpoint and relays its answer.
+ * The last step of the filter chain: sends the request to an endpoint and relays the response.
  *
- * <p>A stream is relayed as it comes and goes on elsewhere when its endpoint fails. Any other answer is collected first,
- * so a caller gets it whole or gets an error. Safe for use by several threads.
+ * <p>A streamed response is relayed as it arrives and is resumed at another endpoint if its endpoint fails. Any other
+ * response is buffered first, so the caller receives either the complete response or an error. Safe for use by several
+ * threads.
  */
 public final class RelayHandler implements RequestHandler {
     private static final int FIRST_ERROR_STATUS = 400;
@@ -40,7 +41,7 @@
     private final Clock clock;
     private final EventSink events;
 
-    /** Creates a relay of the entry instance in {@code origin}. */
+    /** Creates the handler of an entry instance in the failure domain {@code origin}. */
     public RelayHandler(
             ActorSystem<?> system,
             FailureDomain origin,
@@ -57,23 +58,24 @@
     }
 
     @Override
-    public CompletionStage<Answer> handle(RequestContext context) {
+    public CompletionStage<CallerResponse> handle(RequestContext context) {
         RelaySession session =
                 new RelaySession(context, origin, directory, policy, clock, events, this::delay, retries);
         return session.begin()
-                .thenCompose(attempt -> attempt.head().thenCompose(head -> toAnswer(context, session, attempt, head)));
+                .thenCompose(
+                        attempt -> attempt.head().thenCompose(head -> toResponse(context, session, attempt, head)));
     }
 
-    private CompletionStage<Answer> toAnswer(
+    private CompletionStage<CallerResponse> toResponse(
             RequestContext context, RelaySession session, Attempt attempt, AnswerHead head) {
-        Source<ByteString, NotUsed> chunks = Source.fromGraph(new AnswerStage(attempt, session::resume));
+        Source<ByteString, NotUsed> chunks = Source.fromGraph(new ResponseStage(attempt, session::resume));
         if (context.request().stream() && head.getStatus() < FIRST_ERROR_STATUS) {
-            attempt.forgetDeadline();
-            return CompletableFuture.completedFuture(
-                    new Answer.Streamed(head.getStatus(), contentTypeOf(head), EventStreams.toEventStream(chunks)));
+            attempt.cancelDeadline();
+            return CompletableFuture.completedFuture(new CallerResponse.Streamed(
+                    head.getStatus(), contentTypeOf(head), EventStreams.toEventStream(chunks)));
         }
         return chunks.runFold(ByteString.emptyByteString(), ByteString::concat, system)
-                .thenApply(body -> new Answer.Whole(head.getStatus(), contentTypeOf(head), body));
+                .thenApply(body -> new CallerResponse.Complete(head.getStatus(), contentTypeOf(head), body));
     }
 
     private Cancellable delay(Runnable task, long delayMillis) {
--- a/entry/src/main/java/org/jasminehub/entry/relay/RelaySession.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/RelaySession.java
@@ -26,7 +26,7 @@
 import org.jasminehub.entry.filter.Failures;
 import org.jasminehub.entry.filter.RequestContext;
 
-/** The attempts of one request, one after the other, each at another endpoint. Used by one thread at a time. */
+/** The successive attempts of one request, each at a different endpoint. Must be used by one thread at a time. */
 final class RelaySession {
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 500;
 
@@ -59,14 +59,14 @@
         this.retries = retries;
     }
 
-    /** Returns the first attempt whose head arrives. */
+    /** Starts the request and returns the first attempt that receives a head. */
     CompletionStage<Attempt> begin() {
         retries.recordFirstAttempt(subject());
         return attempt(0);
     }
 
-    /** Returns another attempt in place of one that failed, from the chunk after those already relayed. */
-    CompletionStage<Attempt> resume(AnswerInterruption interruption) {
+    /** Returns a new attempt that replaces a failed one and continues after the chunks that were already relayed. */
+    CompletionStage<Attempt> resume(ResponseInterruption interruption) {
         events.emit(new AnswerInterrupted(
                 context.request().id().value(),
                 lastTried(),
@@ -76,7 +76,7 @@
         if (interruption.relayedChunks() > 0 && !isResumable()) {
             return CompletableFuture.failedFuture(interruption.failure());
         }
-        return retryAfter(interruption.failure(), interruption.relayedChunks());
+        return retryAfterFailure(interruption.failure(), interruption.relayedChunks());
     }
 
     private boolean isResumable() {
@@ -101,15 +101,15 @@
                         context.request().promptTokens(), context.request().maxAnswerTokens()),
                 context.request().stream() ? choice.get().estimateMillis() : 0,
                 clock);
-        attempt.expireAfter(remainingMillis(), delays);
+        attempt.startDeadline(remainingMillis(), delays);
         return attempt.head()
                 .handle((head, failure) -> failure == null
                         ? CompletableFuture.completedFuture(attempt)
-                        : retryAfter(Failures.toRequestException(failure), resumeFromChunk))
+                        : retryAfterFailure(Failures.toRequestException(failure), resumeFromChunk))
                 .thenCompose(stage -> stage);
     }
 
-    private CompletionStage<Attempt> retryAfter(RequestException failure, int resumeFromChunk) {
+    private CompletionStage<Attempt> retryAfterFailure(RequestException failure, int resumeFromChunk) {
         RetryDecision decision = retries.decide(
                 new FailedAttempt(subject(), tried.size(), failure.code(), failure.outcome(), remainingMillis(), 0));
         if (decision != RetryDecision.RETRY_ALLOWED) {
@@ -125,7 +125,7 @@
                 .handle((attempt, problem) -> attempt != null
                         ? CompletableFuture.completedFuture(attempt)
                         : CompletableFuture.<Attempt>failedFuture(
-                                worseOf(failure, Failures.toRequestException(problem))))
+                                moreUncertainOf(failure, Failures.toRequestException(problem))))
                 .thenCompose(stage -> stage);
     }
 
@@ -133,8 +133,11 @@
         return new FailedAttempt.Subject(context.request().workspace(), context.route());
     }
 
-    /** A later "not run" says nothing of an earlier attempt that may have run. */
-    private static RequestException worseOf(RequestException earlier, RequestException later) {
+    /**
+     * Returns the earlier failure if its attempt may have run, because "not run" of a later attempt does not refute
+     * that.
+     */
+    private static RequestException moreUncertainOf(RequestException earlier, RequestException later) {
         return earlier.outcome() == Outcome.UNKNOWN ? earlier : later;
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/relay/AnswerStage.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/ResponseStage.java
@@ -15,17 +15,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Emits the chunks of an answer, one at a time as they are wanted; goes on with another attempt where one fails.
+ * Emits the chunks of a response one at a time on demand, and continues with another attempt if one fails.
  *
- * <p>It takes an attempt whose head has arrived and a function that, given the failure and the number of chunks already
- * emitted, starts another one.
+ * <p>The first attempt must have received its head. The {@code resume} function starts another attempt, given the
+ * failure and the number of chunks already emitted.
  */
-final class AnswerStage extends GraphStage<SourceShape<ByteString>> {
+final class ResponseStage extends GraphStage<SourceShape<ByteString>> {
     private final Outlet<ByteString> out = Outlet.create("AnswerStage.out");
     private final Attempt first;
-    private final Function<AnswerInterruption, CompletionStage<Attempt>> resume;
+    private final Function<ResponseInterruption, CompletionStage<Attempt>> resume;
 
-    AnswerStage(Attempt first, Function<AnswerInterruption, CompletionStage<Attempt>> resume) {
+    ResponseStage(Attempt first, Function<ResponseInterruption, CompletionStage<Attempt>> resume) {
         this.first = first;
         this.resume = resume;
     }
@@ -40,7 +40,7 @@
         return new Logic();
     }
 
-    /** The answer to a resume: an attempt or a failure. */
+    /** The result of {@code resume}: either an attempt or a failure. */
     private record Resumed(
             @Nullable Attempt attempt, @Nullable Throwable failure) {}
 
@@ -48,7 +48,7 @@
         private Attempt attempt = first;
         private int emittedChunks;
         private boolean resuming;
-        private AsyncCallback<Done> signalled = createAsyncCallback(ignored -> emitNext());
+        private AsyncCallback<Done> signalArrived = createAsyncCallback(ignored -> emitNext());
         private AsyncCallback<Resumed> resumed = createAsyncCallback(this::onResumed);
 
         Logic() {
@@ -69,7 +69,7 @@
 
         @Override
         public void preStart() {
-            listen();
+            listenToAttempt();
         }
 
         @Override
@@ -77,28 +77,28 @@
             attempt.cancel();
         }
 
-        private void listen() {
-            attempt.onSignal(() -> signalled.invoke(Done.getInstance()));
+        private void listenToAttempt() {
+            attempt.setSignalListener(() -> signalArrived.invoke(Done.getInstance()));
         }
 
         private void emitNext() {
             if (resuming || !isAvailable(out)) {
                 return;
             }
-            AnswerSignal signal = attempt.poll();
-            if (signal instanceof AnswerSignal.Chunk chunk) {
+            ResponseSignal signal = attempt.poll();
+            if (signal instanceof ResponseSignal.Chunk chunk) {
                 emittedChunks++;
                 push(out, ByteString.fromByteBuffer(chunk.data().asReadOnlyByteBuffer()));
-            } else if (signal instanceof AnswerSignal.End) {
+            } else if (signal instanceof ResponseSignal.End) {
                 completeStage();
-            } else if (signal instanceof AnswerSignal.Failed failed) {
+            } else if (signal instanceof ResponseSignal.Failed failed) {
                 startResume(failed.failure());
             }
         }
 
         private void startResume(RequestException failure) {
             resuming = true;
-            resume.apply(new AnswerInterruption(failure, emittedChunks))
+            resume.apply(new ResponseInterruption(failure, emittedChunks))
                     .whenComplete((next, problem) -> resumed.invoke(new Resumed(next, problem)));
         }
 
@@ -109,7 +109,7 @@
                 return;
             }
             attempt = result.attempt();
-            listen();
+            listenToAttempt();
             emitNext();
         }
     }
--- a/entry/src/main/java/org/jasminehub/entry/relay/package-info.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/package-info.java
@@ -1,4 +1,4 @@
-/** Sending requests to agents and relaying their answers whole. */
+/** Sends requests to agents and relays their responses to callers. */
 @NullMarked
 package org.jasminehub.entry.relay;
 
--- a/entry/src/test/java/org/jasminehub/entry/control/documents/DocumentControllerTest.java
+++ b/entry/src/test/java/org/jasminehub/entry/control/documents/DocumentControllerTest.java
@@ -33,18 +33,18 @@
     private static final long EVIDENCE_MILLIS = 8_000;
 
     private final ManualClock clock = new ManualClock(0);
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryLog log = new InMemoryLog();
     private final List<Member> members = new ArrayList<>();
     private final Map<InstanceId, Instance> instances = new LinkedHashMap<>();
     private final Set<InstanceId> unreachable = new HashSet<>();
     private final List<Event> events = new ArrayList<>();
 
-    /** One instance: its controller and what it last handed to traffic threads. */
+    /** An entry instance: its document controller and the documents that the controller published. */
     private final class Instance {
         private final InstanceId id;
         private final DocumentController controller;
         private List<DocumentInForce> documents = List.of();
-        private final List<Long> handedVersions = new ArrayList<>();
+        private final List<Long> publishedVersions = new ArrayList<>();
         private boolean serving;
 
         Instance(int number, int domain) {
@@ -55,7 +55,7 @@
                     Runnable::run,
                     () -> members,
                     log,
-                    DocumentControllerTest.this::ask,
+                    DocumentControllerTest.this::requestRecords,
                     () -> id + "-" + log.nextOffset(),
                     clock,
                     events::add,
@@ -68,7 +68,7 @@
         private void onDocuments(List<DocumentInForce> inForce, boolean isServing) {
             documents = inForce;
             serving = isServing;
-            handedVersions.add(version());
+            publishedVersions.add(version());
         }
 
         long version() {
@@ -81,7 +81,7 @@
         }
     }
 
-    private CompletionStage<RecordsReply> ask(Member peer, RecordsRequest request) {
+    private CompletionStage<RecordsReply> requestRecords(Member peer, RecordsRequest request) {
         if (unreachable.contains(peer.id())) {
             return CompletableFuture.failedFuture(new PlatformException("peer", "no answer", null));
         }
@@ -111,17 +111,17 @@
         }
 
         @Test
-        void testInstanceThatReadsALongHistoryHandsOnOnlyItsEnd() {
+        void testLongHistoryPublishesOnlyTheLatestVersion() {
             long version = log.publishFirst();
             for (int change = 0; change < 600; change++) {
                 version = log.publish(version, 1);
             }
             Instance instance = new Instance(1, 0).refresh();
-            assertEquals(List.of(version), instance.handedVersions);
+            assertEquals(List.of(version), instance.publishedVersions);
         }
 
         @Test
-        void testOneOfTwoRacingOperatorsWinsOnEveryInstance() {
+        void testSameOneOfTwoConcurrentPublishesWinsOnEveryInstance() {
             for (int i = 0; i < 7; i++) {
                 new Instance(i, i % 3);
             }
@@ -195,7 +195,7 @@
         }
 
         @Test
-        void testInstanceCutOffFromLogAndPeersSaysSoAndKeepsItsDocuments() {
+        void testInstanceWithoutLogAndPeersStopsServingAndKeepsItsDocuments() {
             Instance one = new Instance(1, 0);
             new Instance(2, 1);
             long first = log.publishFirst();
@@ -223,7 +223,7 @@
     @Nested
     final class Truncation {
         @Test
-        void testNothingOldIsServedBeforeTheEndOfTheLogIsReached() {
+        void testNothingIsServedBeforeTheEndOfTheLogIsReached() {
             long first = log.publishFirst();
             log.publish(first, 2);
             log.dropBelow(1);
@@ -233,7 +233,7 @@
         }
 
         @Test
-        void testInstanceThatMissedRecordsIsMendedByAPeer() {
+        void testMissedRecordsAreFetchedFromAPeer() {
             Instance one = new Instance(1, 0);
             Instance other = new Instance(2, 1);
             long first = log.publishFirst();
@@ -246,7 +246,7 @@
         }
 
         @Test
-        void testInstancesThatAreAllNewStartFromTheSnapshot() {
+        void testNewInstanceWithoutPeersStartsFromTheSnapshot() {
             Instance old = new Instance(1, 0);
             log.publishFirst();
             old.refresh().refresh();
@@ -262,7 +262,7 @@
     @Nested
     final class Snapshots {
         @Test
-        void testOnlyOneInstanceWritesAndAgainWellInsideRetention() {
+        void testOneInstanceWritesASnapshotAndRenewsItWithinRetention() {
             for (int i = 0; i < 7; i++) {
                 new Instance(i, i % 3);
             }
@@ -280,7 +280,7 @@
         }
 
         @Test
-        void testHistoryWithoutDocumentsIsNotWritten() {
+        void testEmptyHistoryIsNotWritten() {
             new Instance(1, 0).refresh().refresh();
             assertEquals(0, log.nextOffset());
         }
--- a/entry/src/test/java/org/jasminehub/entry/control/documents/MemoryLog.java
+++ b/entry/src/test/java/org/jasminehub/entry/control/documents/InMemoryLog.java
@@ -13,14 +13,14 @@
 import org.jasminehub.platform.log.LogRecord;
 import org.jasminehub.platform.log.LogService;
 
-/** A log in memory that can be down and can forget. */
-final class MemoryLog implements LogService {
+/** An in-memory log that can be made unavailable and can drop its oldest records. */
+final class InMemoryLog implements LogService {
     private final List<byte[]> payloads = new ArrayList<>();
     private long firstOffset;
     private boolean down;
     private int reads;
 
-    /** Publishes a document that names {@code weight} on top of {@code base} and returns its offset. */
+    /** Publishes a document with skew weight {@code weight} based on version {@code base}; returns its offset. */
     long publish(long base, int weight) {
         String text = "schemaVersion: 1\nteam: drafts\nworkspaces: []\nroutes: []\nexperts: {skewWeight: " + weight
                 + ", moveWeight: 1}\n";
--- a/entry/src/test/java/org/jasminehub/entry/control/members/MembershipControllerTest.java
+++ b/entry/src/test/java/org/jasminehub/entry/control/members/MembershipControllerTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void testListThatEmptiesAtOnceTakesNobodyAway() {
+    void testListThatIsSuddenlyEmptyRemovesNoMember() {
         list.showNothing();
         await(() -> hasEvent(MembershipEventKind.LIST_DOUBTED));
         awaitRefreshes();
@@ -106,14 +106,14 @@
     }
 
     @Test
-    void testListThatIsDownTakesNobodyAway() {
+    void testUnavailableListRemovesNoMember() {
         list.setDown(true);
         awaitRefreshes();
         assertUsable("agent-1", "agent-2");
     }
 
     @Test
-    void testStoppedPeerIsHandedToNoCallerWhileTheListLags() {
+    void testStoppedPeerIsNotLiveWhileTheListLags() {
         list.hold(true);
         peer.close();
         await(() -> !isLive("entry-2"));
@@ -121,23 +121,23 @@
     }
 
     @Test
-    void testNewsOfAPeerCounts() {
-        MemberReport news = MemberReport.newBuilder()
+    void testReportOfAPeerIsApplied() {
+        MemberReport report = MemberReport.newBuilder()
                 .setInstance("agent-1")
                 .setIncarnation(Long.MAX_VALUE)
                 .setLeaving(true)
                 .build();
-        Hello greeting = Hello.newBuilder()
+        Hello hello = Hello.newBuilder()
                 .setProtocolVersion(WireProtocol.VERSION)
                 .setInstance("entry-3")
                 .setIncarnation(1)
-                .addMembers(news)
+                .addMembers(report)
                 .build();
         try (WireServer third = WireServer.start(
                 group,
                 HOST,
                 0,
-                () -> greeting,
+                () -> hello,
                 call -> call.refuse(AnswerRefused.newBuilder()),
                 new ControlRouter(),
                 events::add)) {
@@ -163,7 +163,7 @@
                 .equals(List.of(agents)));
     }
 
-    /** Waits until the list was read again after this call: a member that is new in it shows up. */
+    /** Waits until the list was read three more times, so that its content at the time of this call was applied. */
     private void awaitRefreshes() {
         long readsBefore = list.reads();
         await(() -> list.reads() >= readsBefore + 3);
--- a/entry/src/test/java/org/jasminehub/entry/endpoint/EndpointDirectoryTest.java
+++ b/entry/src/test/java/org/jasminehub/entry/endpoint/EndpointDirectoryTest.java
@@ -33,7 +33,7 @@
     private static final Target MODEL = Target.model("campaign-text");
 
     private final ManualClock clock = new ManualClock(0);
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> peerMessages = new LinkedBlockingQueue<>();
     private WireGroup group;
     private EndpointDirectory directory;
 
@@ -47,12 +47,12 @@
                 new OutlierPolicy(clock, OutlierSettings.defaults(), event -> {}),
                 new LinkObserver() {
                     @Override
-                    public void onHeard(Hello hello) {
-                        heard.add("heard");
+                    public void onPeerMessage(Hello hello) {
+                        peerMessages.add("heard");
                     }
 
                     @Override
-                    public void onBroken(InstanceId id) {}
+                    public void onConnectionFailed(InstanceId id) {}
                 });
     }
 
@@ -92,16 +92,16 @@
     }
 
     @Test
-    void testReportOfAnEarlierIncarnationSaysNothingOfTheNextOne() throws InterruptedException {
+    void testReportOfAnEarlierIncarnationIsDiscarded() throws InterruptedException {
         try (WireServer first = agent(1);
                 WireServer second = agent(2)) {
             directory.update(List.of(memberAt(first)));
-            heard.take();
+            peerMessages.take();
             first.broadcastLoad(EndpointLoad.newBuilder().setAccepting(false).build());
-            heard.take();
+            peerMessages.take();
             assertFalse(isAccepting());
             directory.update(List.of(memberAt(second)));
-            heard.take();
+            peerMessages.take();
             assertEquals(1, directory.usable(MODEL).size());
             assertTrue(isAccepting());
         }
--- a/entry/src/test/java/org/jasminehub/entry/relay/EventStreamsTest.java
+++ b/entry/src/test/java/org/jasminehub/entry/relay/EventStreamsTest.java
@@ -43,16 +43,16 @@
     }
 
     @Test
-    void testWholeStreamIsClosedByItsMark() {
+    void testCompleteStreamEndsWithDoneEvent() {
         Source<ByteString, NotUsed> chunks = Source.from(List.of(ByteString.fromString("{}")));
         assertEquals(List.of("data: {}\n\n", "data: [DONE]\n\n"), run(chunks, new ArrayList<>()));
     }
 
     @Test
-    void testFailureIsShownAsAnEventAndThenBreaksTheStream() {
-        RequestException cut = new RequestException(ErrorCode.ANSWER_CUT, Outcome.UNKNOWN, "cut");
+    void testFailureIsSentAsAnEventAndThenFailsTheStream() {
+        RequestException interruption = new RequestException(ErrorCode.ANSWER_CUT, Outcome.UNKNOWN, "cut");
         Source<ByteString, NotUsed> chunks =
-                Source.single(ByteString.fromString("{}")).concat(Source.failed(cut));
+                Source.single(ByteString.fromString("{}")).concat(Source.failed(interruption));
         List<String> received = new ArrayList<>();
         CompletionException failure = assertThrows(CompletionException.class, () -> run(chunks, received));
         assertInstanceOf(RequestException.class, failure.getCause());
