--- a/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
@@ -33,7 +33,7 @@
         this.incoming = incoming;
         this.arrivedMillis = arrivedMillis;
         this.credit = incoming.start().getInitialCredit();
-        incoming.listen(new CallListener() {
+        incoming.setListener(new CallListener() {
             @Override
             public void onCredit(int chunks) {
                 addCredit(chunks);
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
@@ -9,9 +9,9 @@
 import org.jasminehub.core.routing.EndpointState;
 import org.jasminehub.core.routing.EndpointTracker;
 import org.jasminehub.core.routing.LoadReport;
-import org.jasminehub.wire.AnswerListener;
 import org.jasminehub.wire.OutgoingCall;
 import org.jasminehub.wire.PeerListener;
+import org.jasminehub.wire.ResponseListener;
 import org.jasminehub.wire.WireClient;
 import org.jasminehub.wire.WireGroup;
 import org.jasminehub.wire.generated.CallStart;
@@ -80,7 +80,7 @@
     /**
      * Starts a call with the expected cost {@code workTokens}. {@link #callEnded} must be called once after it ended.
      */
-    public OutgoingCall call(CallStart.Builder start, long workTokens, AnswerListener listener) {
+    public OutgoingCall call(CallStart.Builder start, long workTokens, ResponseListener listener) {
         outstanding.incrementAndGet();
         tracker.recordSent(id, workTokens);
         return client.call(start, listener);
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationResponseListener.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationResponseListener.java
@@ -19,7 +19,7 @@
 import org.jasminehub.core.operation.OperationResult;
 import org.jasminehub.core.operation.OperationStep;
 import org.jasminehub.entry.endpoint.EndpointLink;
-import org.jasminehub.wire.AnswerListener;
+import org.jasminehub.wire.ResponseListener;
 import org.jasminehub.wire.generated.AnswerChunk;
 import org.jasminehub.wire.generated.AnswerEnd;
 import org.jasminehub.wire.generated.AnswerHead;
@@ -27,7 +27,7 @@
 import org.jasminehub.wire.generated.Header;
 
 /** Collects the response to the request of an operation. Called on an I/O thread, must not block. */
-final class OperationResponseListener implements AnswerListener {
+final class OperationResponseListener implements ResponseListener {
     private static final int ATTEMPT = 1;
 
     private final EndpointLink link;
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void onLost(boolean sent) {
+    public void onConnectionLost(boolean sent) {
         end(OperationCall::onHomeLost);
     }
 
--- a/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
@@ -10,8 +10,8 @@
 import org.jasminehub.core.error.RequestException;
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.entry.endpoint.EndpointLink;
-import org.jasminehub.wire.AnswerListener;
 import org.jasminehub.wire.OutgoingCall;
+import org.jasminehub.wire.ResponseListener;
 import org.jasminehub.wire.generated.AnswerChunk;
 import org.jasminehub.wire.generated.AnswerEnd;
 import org.jasminehub.wire.generated.AnswerHead;
@@ -25,7 +25,7 @@
  * <p>Chunks are queued until they are polled. The endpoint sends no more chunks than it has credit for, so the initial
  * credit bounds the queue. Safe for use by several threads.
  */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
     private static final long RETRY_AFTER_MILLIS = 200;
 
     private final EndpointLink link;
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void onLost(boolean sent) {
+    public void onConnectionLost(boolean sent) {
         Outcome outcome = sent ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         fail(new RequestException(
                 ErrorCode.ENDPOINT_FAILED, outcome, RETRY_AFTER_MILLIS, "the connection to " + link.id() + " failed"));
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
@@ -22,9 +22,9 @@
 import org.jasminehub.gateway.net.Exchange;
 import org.jasminehub.gateway.net.ExchangeFailure;
 import org.jasminehub.gateway.net.ResponseSink;
-import org.jasminehub.platform.hosted.AnswerHeaders;
-import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
 import org.jasminehub.platform.hosted.CallHeadersAdapter;
+import org.jasminehub.platform.hosted.ResponseHeaders;
+import org.jasminehub.platform.hosted.ResponseHeadersAdapter;
 import org.jspecify.annotations.Nullable;
 
 /** One attempt to send a call to an endpoint, including the relay of the response. */
@@ -173,7 +173,7 @@
 
     @Override
     public void onHead(HttpResponseStatus status, HttpHeaders headers) {
-        AnswerHeaders parsedHeaders = AnswerHeadersAdapter.decode(status, headers);
+        ResponseHeaders parsedHeaders = ResponseHeadersAdapter.decode(status, headers);
         if (parsedHeaders.keepAliveMillis() != null) {
             call.dispatcher().client().setIdleLimit(address(), parsedHeaders.keepAliveMillis());
         }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/BufferedRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/BufferedRelay.java
@@ -7,8 +7,8 @@
 import java.io.ByteArrayOutputStream;
 import org.jasminehub.core.balance.AttemptEnd;
 import org.jasminehub.gateway.net.CallerResponse;
-import org.jasminehub.platform.hosted.AnswerHeaders;
-import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
+import org.jasminehub.platform.hosted.ResponseHeaders;
+import org.jasminehub.platform.hosted.ResponseHeadersAdapter;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -33,10 +33,10 @@
     }
 
     @Override
-    public void begin(HttpResponseStatus responseStatus, HttpHeaders responseHeaders, AnswerHeaders parsedHeaders) {
+    public void begin(HttpResponseStatus responseStatus, HttpHeaders responseHeaders, ResponseHeaders parsedHeaders) {
         status = responseStatus;
         isNotRun = parsedHeaders.isNotRun();
-        headers = AnswerHeadersAdapter.forCaller(responseHeaders);
+        headers = ResponseHeadersAdapter.forCaller(responseHeaders);
         contentLength = responseHeaders.contains(HttpHeaderNames.CONTENT_LENGTH)
                 ? Long.parseLong(responseHeaders.get(HttpHeaderNames.CONTENT_LENGTH))
                 : CallerResponse.UNKNOWN_LENGTH;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Refusal.java
@@ -40,7 +40,7 @@
     void write(CallerResponse answer, String requestId) {
         HttpHeaders headers = new DefaultHttpHeaders(false);
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-        CallHeadersAdapter.nameRequest(headers, requestId);
+        CallHeadersAdapter.setRequestId(headers, requestId);
         if (retryAfterMillis >= 0) {
             headers.set(
                     HttpHeaderNames.RETRY_AFTER,
--- a/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/StreamRelay.java
@@ -6,8 +6,8 @@
 import org.jasminehub.core.stream.EventSplitter;
 import org.jasminehub.core.stream.StreamEvent;
 import org.jasminehub.gateway.net.CallerResponse;
-import org.jasminehub.platform.hosted.AnswerHeaders;
-import org.jasminehub.platform.hosted.AnswerHeadersAdapter;
+import org.jasminehub.platform.hosted.ResponseHeaders;
+import org.jasminehub.platform.hosted.ResponseHeadersAdapter;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -26,10 +26,11 @@
     }
 
     @Override
-    public void begin(HttpResponseStatus responseStatus, HttpHeaders headers, AnswerHeaders parsedHeaders) {
+    public void begin(HttpResponseStatus responseStatus, HttpHeaders headers, ResponseHeaders parsedHeaders) {
         status = responseStatus;
         if (!call.isHeadSent()) {
-            call.answer().begin(responseStatus, AnswerHeadersAdapter.forCaller(headers), CallerResponse.UNKNOWN_LENGTH);
+            call.answer()
+                    .begin(responseStatus, ResponseHeadersAdapter.forCaller(headers), CallerResponse.UNKNOWN_LENGTH);
             call.onHeadSent();
         }
     }
--- a/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/control/LogFollower.java
@@ -6,7 +6,7 @@
 import org.jasminehub.core.balance.StateAge;
 import org.jasminehub.core.event.EventSink;
 import org.jasminehub.core.time.Clock;
-import org.jasminehub.platform.hosted.HistoryGoneException;
+import org.jasminehub.platform.hosted.HistoryTruncatedException;
 import org.jasminehub.platform.hosted.KeyedRecord;
 import org.jasminehub.platform.hosted.LogSlice;
 import org.jasminehub.platform.hosted.StoreClient;
@@ -152,7 +152,7 @@
     private void onFailure(int readGeneration, Throwable thrown) {
         Throwable cause =
                 thrown instanceof CompletionException && thrown.getCause() != null ? thrown.getCause() : thrown;
-        if (cause instanceof HistoryGoneException) {
+        if (cause instanceof HistoryTruncatedException) {
             nextOffset = -1;
             read(readGeneration);
             return;
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/GroupPlacement.java
@@ -129,7 +129,7 @@
             if (order == null) {
                 continue;
             }
-            if (!EngineAdapter.isTaken(reply.getStatus())) {
+            if (!EngineAdapter.isAccepted(reply.getStatus())) {
                 events.emit(new ExpertEvent(
                         ExpertEventKind.ORDER_FAILED,
                         name,
--- a/gateway/src/main/java/org/jasminehub/gateway/net/StoreConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/StoreConnection.java
@@ -1,8 +1,8 @@
 package org.jasminehub.gateway.net;
 
 import java.util.concurrent.CompletableFuture;
-import org.jasminehub.platform.hosted.StoreAnswer;
 import org.jasminehub.platform.hosted.StoreCall;
+import org.jasminehub.platform.hosted.StoreResponse;
 import org.jasminehub.platform.hosted.StoreTransport;
 
 /** Sends calls to the store over pooled keep-alive connections. */
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public CompletableFuture<StoreAnswer> send(StoreCall call, long timeoutMillis) {
+    public CompletableFuture<StoreResponse> send(StoreCall call, long timeoutMillis) {
         return caller.call(call.method(), call.uri(), call.contentType(), call.body(), timeoutMillis)
-                .thenApply(response -> new StoreAnswer(response.status(), response.body()));
+                .thenApply(response -> new StoreResponse(response.status(), response.body()));
     }
 }
--- a/runtime/src/main/java/org/jasminehub/runtime/log/EventLog.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/log/EventLog.java
@@ -11,8 +11,8 @@
 import org.jasminehub.core.event.Severity;
 
 /**
- * Writes events to the log, one JSON object a line: {@code event} (the number), {@code name}, the process's
- * {@code instance}, and the fields of the event.
+ * Writes each event to the log as one line with a JSON object. Its fields are {@code event} (the event's number),
+ * {@code name}, {@code instance} (the instance that wrote the line) and the fields of the event itself.
  *
  * <pre>{@code
  * EventSink events = new EventLog("entry-1");
@@ -27,7 +27,7 @@
     private final ObjectMapper mapper = new ObjectMapper();
     private final String instance;
 
-    /** Creates a log whose lines name {@code instance}. */
+    /** Creates a log whose lines state {@code instance} as their origin. */
     public EventLog(String instance) {
         this.instance = instance;
     }
@@ -38,7 +38,7 @@
         logger.at(level).log("%s", new Line(event));
     }
 
-    /** Writes an event that happened at {@code wallMillis}, which the field {@code time} states in milliseconds. */
+    /** Writes an event that occurred at {@code wallMillis}; the field {@code time} of the line contains that time. */
     public void emitAt(Event event, long wallMillis) {
         logger.at(levelOf(event.kind().severity())).log("%s", new Line(event, wallMillis));
     }
@@ -52,7 +52,7 @@
         };
     }
 
-    /** Renders an event only where its level is enabled. */
+    /** Converts an event to JSON in {@code toString}, which the logger calls only if the event's level is enabled. */
     private final class Line {
         private static final long NO_TIME = -1;
 
--- a/runtime/src/main/java/org/jasminehub/runtime/log/package-info.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/log/package-info.java
@@ -1,4 +1,4 @@
-/** The event log: numbered events as JSON lines. */
+/** The event log, which writes numbered events as JSON lines. */
 @NullMarked
 package org.jasminehub.runtime.log;
 
--- a/runtime/src/main/java/org/jasminehub/runtime/metrics/HealthProbe.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/metrics/HealthProbe.java
@@ -1,8 +1,8 @@
 package org.jasminehub.runtime.metrics;
 
-/** Answers whether a process is well; must be safe for use by several threads and must not block. */
+/** A health check of a process; implementations must be safe for use by several threads and must not block. */
 @FunctionalInterface
 public interface HealthProbe {
-    /** Returns whether it is well. */
+    /** Returns whether the check succeeds. */
     boolean isHealthy();
 }
--- a/runtime/src/main/java/org/jasminehub/runtime/metrics/OperationsServer.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/metrics/OperationsServer.java
@@ -14,7 +14,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * The operations endpoint of a process: {@code /metrics} for Prometheus, {@code /livez} and {@code /readyz}.
+ * The operations endpoint of a process: metrics for Prometheus at {@code /metrics} and health checks at {@code /livez} and
+ * {@code /readyz}.
  *
  * <pre>{@code
  * try (OperationsServer server = new OperationsServer("127.0.0.1", 0, metrics, () -> true, control::isReady)) {
@@ -33,7 +34,7 @@
     private final CollectorRegistry collectors = new CollectorRegistry();
 
     /**
-     * Starts the endpoint on {@code host} and {@code port}; port 0 takes a free one.
+     * Starts the endpoint on {@code host} and {@code port}; port 0 selects a free port.
      *
      * @throws IOException if the port cannot be bound
      */
@@ -49,7 +50,7 @@
         server.start();
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getAddress().getPort();
     }
--- a/runtime/src/main/java/org/jasminehub/runtime/metrics/package-info.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Metrics and the operations endpoint of a process. */
+/** The HTTP endpoint that serves the metrics and health checks of a process. */
 @NullMarked
 package org.jasminehub.runtime.metrics;
 
--- a/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
@@ -8,7 +8,7 @@
 import org.jasminehub.core.yaml.YamlFailure;
 
 /**
- * Reads settings files into records.
+ * Loads YAML settings files into records.
  *
  * <pre>{@code
  * EntrySettings settings = new SettingsLoader().load(path, EntrySettings.class);
@@ -20,7 +20,7 @@
     private final StrictYamlReader reader = new StrictYamlReader();
 
     /**
-     * Returns the settings in {@code file}.
+     * Loads the settings in {@code file}.
      *
      * @throws SettingsException if the file cannot be read or has an unknown, missing or invalid key
      */
@@ -31,8 +31,8 @@
             throw new SettingsException(file.toString(), "(file)", "no readable file", "a YAML file");
         } catch (YamlException e) {
             YamlFailure failure = e.failure();
-            String path = "line " + failure.line() + ", " + failure.path();
-            throw new SettingsException(file.toString(), path, failure.found(), failure.expected());
+            String location = "line " + failure.line() + ", " + failure.path();
+            throw new SettingsException(file.toString(), location, failure.found(), failure.expected());
         }
     }
 }
--- a/runtime/src/main/java/org/jasminehub/runtime/settings/package-info.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Checked reading of settings files. */
+/** Loading and validation of settings files. */
 @NullMarked
 package org.jasminehub.runtime.settings;
 
--- a/runtime/src/main/java/org/jasminehub/runtime/time/package-info.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/time/package-info.java
@@ -1,4 +1,4 @@
-/** The clock of a running process. */
+/** The system clock. */
 @NullMarked
 package org.jasminehub.runtime.time;
 
--- a/wire/src/main/java/org/jasminehub/wire/CallListener.java
+++ b/wire/src/main/java/org/jasminehub/wire/CallListener.java
@@ -1,10 +1,10 @@
 package org.jasminehub.wire;
 
-/** Hears what the peer of an incoming call wants; called on a thread of the transport, must not block. */
+/** Receives credit and cancellation of an incoming call; called on an I/O thread, must not block. */
 public interface CallListener {
-    /** The peer takes {@code chunks} more chunks. */
+    /** Called when the peer allows {@code chunks} more chunks to be sent. */
     void onCredit(int chunks);
 
-    /** The peer does not want the answer any more, or its connection is gone. */
+    /** Called when the peer cancelled the call or its connection was closed. */
     void onCancel();
 }
--- a/wire/src/main/java/org/jasminehub/wire/ClientConnection.java
+++ b/wire/src/main/java/org/jasminehub/wire/ClientConnection.java
@@ -20,17 +20,17 @@
 import org.jasminehub.wire.generated.Hello;
 import org.jspecify.annotations.Nullable;
 
-/** One connection of a {@link WireClient}: the calls and control requests that wait for an answer on it. */
+/** One connection of a {@link WireClient} with its pending calls and control requests. */
 final class ClientConnection extends SimpleChannelInboundHandler<Envelope> {
     private final Supplier<Hello> hello;
     private final PeerListener peerListener;
 
     private final Object lock = new Object();
-    private final Queue<Envelope> waitingForHello = new ArrayDeque<>();
-    private final Map<Long, AnswerListener> calls = new HashMap<>();
+    private final Queue<Envelope> queuedUntilHello = new ArrayDeque<>();
+    private final Map<Long, ResponseListener> calls = new HashMap<>();
     private final Map<Long, CompletableFuture<ControlReply>> requests = new HashMap<>();
     private long nextId = 1;
-    private boolean ready;
+    private boolean helloReceived;
     private boolean closed;
     private @Nullable ChannelHandlerContext context;
 
@@ -51,7 +51,7 @@
         }
     }
 
-    OutgoingCall call(CallStart.Builder start, AnswerListener listener) {
+    OutgoingCall call(CallStart.Builder start, ResponseListener listener) {
         long id;
         synchronized (lock) {
             id = nextId++;
@@ -63,7 +63,7 @@
                 return new Call(id);
             }
         }
-        listener.onLost(false);
+        listener.onConnectionLost(false);
         return new Call(id);
     }
 
@@ -73,7 +73,7 @@
             if (!closed) {
                 long id = nextId++;
                 requests.put(id, reply);
-                reply.whenComplete((value, failure) -> forgetRequest(id));
+                reply.whenComplete((value, failure) -> removeRequest(id));
                 sendLocked(Envelope.newBuilder()
                         .setControlRequest(request.setCorrelationId(id).build())
                         .build());
@@ -85,34 +85,35 @@
     }
 
     void close() {
-        ChannelHandlerContext present;
+        ChannelHandlerContext currentContext;
         synchronized (lock) {
-            present = context;
+            currentContext = context;
         }
-        if (present == null) {
+        if (currentContext == null) {
             fail();
         } else {
-            present.close();
+            currentContext.close();
         }
     }
 
-    /** Ends the connection: every call and request that waits on it is told so. */
+    /** Marks the connection as closed and notifies every pending call and request. */
     void fail() {
-        List<LostCall> lost = new ArrayList<>();
-        List<CompletableFuture<ControlReply>> unanswered;
+        List<PendingCall> pendingCalls = new ArrayList<>();
+        List<CompletableFuture<ControlReply>> pendingReplies;
         synchronized (lock) {
             if (closed) {
                 return;
             }
             closed = true;
-            calls.forEach((id, listener) -> lost.add(new LostCall(listener, !isUnsent(id))));
+            calls.forEach((id, listener) -> pendingCalls.add(new PendingCall(listener, !isUnsent(id))));
             calls.clear();
-            unanswered = List.copyOf(requests.values());
+            pendingReplies = List.copyOf(requests.values());
             requests.clear();
-            waitingForHello.clear();
+            queuedUntilHello.clear();
         }
-        lost.forEach(call -> call.listener().onLost(call.sent()));
-        unanswered.forEach(reply -> reply.completeExceptionally(new WireException("the connection was lost", null)));
+        pendingCalls.forEach(call -> call.listener().onConnectionLost(call.sent()));
+        pendingReplies.forEach(
+                reply -> reply.completeExceptionally(new WireException("the connection was lost", null)));
         peerListener.onDisconnected();
     }
 
@@ -131,6 +132,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        // The idle handler reports that the peer sent nothing for READ_TIMEOUT_MILLIS.
         ctx.close();
     }
 
@@ -147,11 +149,9 @@
             case ANSWER_HEAD ->
                 withCall(message.getAnswerHead().getCallId(), call -> call.onHead(message.getAnswerHead()));
             case ANSWER_CHUNK -> onChunk(message.getAnswerChunk());
-            case ANSWER_END ->
-                withEndedCall(message.getAnswerEnd().getCallId(), call -> call.onEnd(message.getAnswerEnd()));
+            case ANSWER_END -> endCall(message.getAnswerEnd().getCallId(), call -> call.onEnd(message.getAnswerEnd()));
             case ANSWER_REFUSED ->
-                withEndedCall(
-                        message.getAnswerRefused().getCallId(), call -> call.onRefused(message.getAnswerRefused()));
+                endCall(message.getAnswerRefused().getCallId(), call -> call.onRefused(message.getAnswerRefused()));
             case CONTROL_REPLY -> onReply(message.getControlReply());
             default -> ctx.close();
         }
@@ -163,9 +163,9 @@
             return;
         }
         synchronized (lock) {
-            ready = true;
-            waitingForHello.forEach(ctx::write);
-            waitingForHello.clear();
+            helloReceived = true;
+            queuedUntilHello.forEach(ctx::write);
+            queuedUntilHello.clear();
             ctx.flush();
         }
         peerListener.onHello(peer);
@@ -176,17 +176,17 @@
     }
 
     private void onReply(ControlReply reply) {
-        CompletableFuture<ControlReply> waiting;
+        CompletableFuture<ControlReply> pending;
         synchronized (lock) {
-            waiting = requests.remove(reply.getCorrelationId());
+            pending = requests.remove(reply.getCorrelationId());
         }
-        if (waiting != null) {
-            waiting.complete(reply);
+        if (pending != null) {
+            pending.complete(reply);
         }
     }
 
-    private void withCall(long id, java.util.function.Consumer<AnswerListener> action) {
-        AnswerListener listener;
+    private void withCall(long id, java.util.function.Consumer<ResponseListener> action) {
+        ResponseListener listener;
         synchronized (lock) {
             listener = calls.get(id);
         }
@@ -195,8 +195,8 @@
         }
     }
 
-    private void withEndedCall(long id, java.util.function.Consumer<AnswerListener> action) {
-        AnswerListener listener;
+    private void endCall(long id, java.util.function.Consumer<ResponseListener> action) {
+        ResponseListener listener;
         synchronized (lock) {
             listener = calls.remove(id);
         }
@@ -205,23 +205,23 @@
         }
     }
 
-    private void forgetRequest(long id) {
+    private void removeRequest(long id) {
         synchronized (lock) {
             requests.remove(id);
         }
     }
 
     private boolean isUnsent(long callId) {
-        return waitingForHello.stream()
+        return queuedUntilHello.stream()
                 .anyMatch(message ->
                         message.hasCallStart() && message.getCallStart().getCallId() == callId);
     }
 
     private void sendLocked(Envelope message) {
-        if (ready && context != null) {
+        if (helloReceived && context != null) {
             context.writeAndFlush(message);
         } else {
-            waitingForHello.add(message);
+            queuedUntilHello.add(message);
         }
     }
 
@@ -233,7 +233,7 @@
         }
     }
 
-    private record LostCall(AnswerListener listener, boolean sent) {}
+    private record PendingCall(ResponseListener listener, boolean sent) {}
 
     private final class Call implements OutgoingCall {
         private final long id;
@@ -251,11 +251,11 @@
 
         @Override
         public void cancel() {
-            boolean waiting;
+            boolean isPending;
             synchronized (lock) {
-                waiting = calls.remove(id) != null;
+                isPending = calls.remove(id) != null;
             }
-            if (waiting) {
+            if (isPending) {
                 send(Envelope.newBuilder()
                         .setCallCancel(CallCancel.newBuilder().setCallId(id))
                         .build());
--- a/wire/src/main/java/org/jasminehub/wire/ControlHandler.java
+++ b/wire/src/main/java/org/jasminehub/wire/ControlHandler.java
@@ -4,9 +4,9 @@
 import org.jasminehub.wire.generated.ControlReply;
 import org.jasminehub.wire.generated.ControlRequest;
 
-/** Answers control requests; called on a thread of the transport, must not block. */
+/** Handles control requests; called on an I/O thread, must not block. */
 @FunctionalInterface
 public interface ControlHandler {
-    /** Returns the reply to {@code request}; the correlation id is filled in by the transport. */
+    /** Returns the reply to {@code request}; the transport sets its correlation id. */
     CompletionStage<ControlReply.Builder> onRequest(ControlRequest request);
 }
--- a/wire/src/main/java/org/jasminehub/wire/ControlRouter.java
+++ b/wire/src/main/java/org/jasminehub/wire/ControlRouter.java
@@ -10,7 +10,7 @@
 import org.jasminehub.wire.generated.ControlRequest;
 
 /**
- * Hands each kind of control request to its own handler and refuses kinds without one.
+ * Dispatches control requests to the handler of their kind; replies with a failure where a kind has no handler.
  *
  * <pre>{@code
  * ControlRouter router = new ControlRouter();
@@ -22,7 +22,7 @@
 public final class ControlRouter implements ControlHandler {
     private final Map<ControlRequest.BodyCase, ControlHandler> handlers = new ConcurrentHashMap<>();
 
-    /** Sets the handler of requests of {@code kind}. */
+    /** Registers the handler for requests of {@code kind}; it replaces an earlier one. */
     public void on(ControlRequest.BodyCase kind, ControlHandler handler) {
         handlers.put(kind, handler);
     }
--- a/wire/src/main/java/org/jasminehub/wire/IncomingCall.java
+++ b/wire/src/main/java/org/jasminehub/wire/IncomingCall.java
@@ -7,28 +7,32 @@
 import org.jasminehub.wire.generated.Header;
 
 /**
- * A call that a peer asked this process to run.
+ * A call that a peer sent to this process.
  *
- * <p>The answer is a head, chunks and an end, or one refusal in place of what is still missing. Chunks may be sent only
- * against credit: {@code start().getInitialCredit()} and what {@link CallListener#onCredit} adds. What is sent after the
- * call ended is dropped. Safe for use by several threads, though the order of chunks is the order of the calls.
+ * <p>The response consists of a head, any number of chunks and an end; a refusal ends it at any point before that.
+ * Chunks may be sent only against credit: {@code start().getInitialCredit()} plus what {@link CallListener#onCredit}
+ * adds. Messages sent after the call ended are dropped. Safe for use by several threads; chunks are sent in the order in
+ * which {@link #chunk} is called.
  */
 public interface IncomingCall {
-    /** Returns what the peer asked for. */
+    /** Returns the message that started the call. */
     CallStart start();
 
-    /** Sets who is told of credit and cancellation; called once, before the answer starts. */
-    void listen(CallListener listener);
+    /**
+     * Sets the listener for credit and cancellation, which is notified at once if the call was already cancelled; called
+     * once, before the response starts.
+     */
+    void setListener(CallListener listener);
 
-    /** Sends the head of the answer. */
+    /** Sends the status and headers of the response. */
     void head(int status, List<Header> headers);
 
-    /** Sends the next chunk of the answer. */
+    /** Sends the next chunk of the response. */
     void chunk(ByteString data);
 
-    /** Ends a whole answer. */
+    /** Ends the call after the complete response was sent. */
     void end();
 
-    /** Ends the call without a whole answer; the call's id is filled in. */
+    /** Ends the call without a complete response; the transport sets the call's id in {@code refusal}. */
     void refuse(AnswerRefused.Builder refusal);
 }
--- a/wire/src/main/java/org/jasminehub/wire/OutgoingCall.java
+++ b/wire/src/main/java/org/jasminehub/wire/OutgoingCall.java
@@ -1,10 +1,10 @@
 package org.jasminehub.wire;
 
-/** A call that this process made. Safe for use by several threads. */
+/** A call that this process sent to a peer. Safe for use by several threads. */
 public interface OutgoingCall {
-    /** Lets the peer send {@code chunks} more chunks. */
+    /** Allows the peer to send {@code chunks} more chunks. */
     void credit(int chunks);
 
-    /** Tells the peer that nobody waits for the answer; the listener hears nothing more. */
+    /** Cancels the call at the peer; the listener is not called any more. */
     void cancel();
 }
--- a/wire/src/main/java/org/jasminehub/wire/PeerListener.java
+++ b/wire/src/main/java/org/jasminehub/wire/PeerListener.java
@@ -3,14 +3,14 @@
 import org.jasminehub.wire.generated.EndpointLoad;
 import org.jasminehub.wire.generated.Hello;
 
-/** Hears of the peer at the other end of a client's connection; called on a thread of the transport. */
+/** Receives messages and state changes of the peer that a {@link WireClient} connects to; called on an I/O thread. */
 public interface PeerListener {
-    /** The connection stands and the peer said who it is; also called when the peer says so again. */
+    /** Called when the peer has identified itself after connecting, and each time it sends an updated hello. */
     void onHello(Hello hello);
 
-    /** The peer reported its endpoint's load. */
+    /** Called when the peer reports the load of its endpoint. */
     void onLoad(EndpointLoad load);
 
-    /** The connection is gone. */
+    /** Called when a connection could not be opened, has failed or was closed. */
     void onDisconnected();
 }
--- a/wire/src/main/java/org/jasminehub/wire/ServerCall.java
+++ b/wire/src/main/java/org/jasminehub/wire/ServerCall.java
@@ -11,7 +11,7 @@
 import org.jasminehub.wire.generated.Header;
 import org.jspecify.annotations.Nullable;
 
-/** One call that runs for a peer. */
+/** One incoming call of a peer's connection. */
 final class ServerCall implements IncomingCall {
     private final ServerConnection connection;
     private final CallStart start;
@@ -31,13 +31,13 @@
     }
 
     @Override
-    public void listen(CallListener newListener) {
-        boolean alreadyEnded;
+    public void setListener(CallListener newListener) {
+        boolean hasEnded;
         synchronized (this) {
             listener = newListener;
-            alreadyEnded = ended;
+            hasEnded = ended;
         }
-        if (alreadyEnded) {
+        if (hasEnded) {
             newListener.onCancel();
         }
     }
@@ -82,7 +82,7 @@
                 .setChunks(sentChunks)
                 .build();
         connection.send(Envelope.newBuilder().setAnswerEnd(end).build());
-        connection.forget(start.getCallId());
+        connection.removeCall(start.getCallId());
     }
 
     @Override
@@ -94,30 +94,30 @@
         connection.send(Envelope.newBuilder()
                 .setAnswerRefused(refusal.setCallId(start.getCallId()))
                 .build());
-        connection.forget(start.getCallId());
+        connection.removeCall(start.getCallId());
     }
 
     void credit(int chunks) {
-        CallListener present;
+        CallListener currentListener;
         synchronized (this) {
-            present = listener;
+            currentListener = listener;
         }
-        if (present != null) {
-            present.onCredit(chunks);
+        if (currentListener != null) {
+            currentListener.onCredit(chunks);
         }
     }
 
     void cancel() {
-        CallListener present;
+        CallListener currentListener;
         synchronized (this) {
             if (ended) {
                 return;
             }
             ended = true;
-            present = listener;
+            currentListener = listener;
         }
-        if (present != null) {
-            present.onCancel();
+        if (currentListener != null) {
+            currentListener.onCancel();
         }
     }
 }
--- a/wire/src/main/java/org/jasminehub/wire/ServerConnection.java
+++ b/wire/src/main/java/org/jasminehub/wire/ServerConnection.java
@@ -17,52 +17,52 @@
 import org.jasminehub.wire.generated.Hello;
 import org.jspecify.annotations.Nullable;
 
-/** One accepted connection: its calls that still run. All inbound methods run on the connection's own thread. */
+/** One accepted connection and its running calls. All inbound methods run on the connection's event loop. */
 final class ServerConnection extends SimpleChannelInboundHandler<Envelope> {
     private final Supplier<Hello> hello;
     private final CallHandler callHandler;
     private final ControlHandler controlHandler;
     private final EventSink events;
-    private final Set<ServerConnection> open;
+    private final Set<ServerConnection> openConnections;
     private final Map<Long, ServerCall> calls = new ConcurrentHashMap<>();
 
     private volatile @Nullable ChannelHandlerContext context;
-    private boolean introduced;
+    private boolean helloReceived;
 
     ServerConnection(
             Supplier<Hello> hello,
             CallHandler callHandler,
             ControlHandler controlHandler,
             EventSink events,
-            Set<ServerConnection> open) {
+            Set<ServerConnection> openConnections) {
         this.hello = hello;
         this.callHandler = callHandler;
         this.controlHandler = controlHandler;
         this.events = events;
-        this.open = open;
+        this.openConnections = openConnections;
     }
 
     void send(Envelope message) {
-        ChannelHandlerContext present = context;
-        if (present != null) {
-            present.writeAndFlush(message);
+        ChannelHandlerContext currentContext = context;
+        if (currentContext != null) {
+            currentContext.writeAndFlush(message);
         }
     }
 
     void close() {
-        ChannelHandlerContext present = context;
-        if (present != null) {
-            present.close();
+        ChannelHandlerContext currentContext = context;
+        if (currentContext != null) {
+            currentContext.close();
         }
     }
 
-    void forget(long callId) {
+    void removeCall(long callId) {
         calls.remove(callId);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        open.remove(this);
+        openConnections.remove(this);
         List.copyOf(calls.values()).forEach(ServerCall::cancel);
         calls.clear();
     }
@@ -75,7 +75,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Envelope message) {
-        if (!introduced) {
+        if (!helloReceived) {
             onFirstMessage(ctx, message);
             return;
         }
@@ -84,30 +84,30 @@
             case CALL_CREDIT -> onCredit(message);
             case CALL_CANCEL -> onCancel(message.getCallCancel().getCallId());
             case CONTROL_REQUEST -> onControlRequest(message.getControlRequest());
-            default -> reject(ctx, "unexpected " + message.getBodyCase());
+            default -> reject(ctx, "unexpected message " + message.getBodyCase());
         }
     }
 
     private void onFirstMessage(ChannelHandlerContext ctx, Envelope message) {
         if (!message.hasHello()) {
-            reject(ctx, "no hello");
+            reject(ctx, "the first message is not a hello");
             return;
         }
         int version = message.getHello().getProtocolVersion();
         ctx.writeAndFlush(Envelope.newBuilder().setHello(hello.get()).build());
         if (version != WireProtocol.VERSION) {
-            reject(ctx, "protocol version " + version);
+            reject(ctx, "unsupported protocol version " + version);
             return;
         }
-        introduced = true;
+        helloReceived = true;
         context = ctx;
-        open.add(this);
+        openConnections.add(this);
     }
 
     private void onCallStart(ChannelHandlerContext ctx, CallStart start) {
         ServerCall call = new ServerCall(this, start);
         if (calls.putIfAbsent(start.getCallId(), call) != null) {
-            reject(ctx, "repeated call id " + start.getCallId());
+            reject(ctx, "duplicate call id " + start.getCallId());
             return;
         }
         callHandler.onCall(call);
@@ -129,9 +129,9 @@
 
     private void onControlRequest(ControlRequest request) {
         controlHandler.onRequest(request).whenComplete((reply, failure) -> {
-            ControlReply.Builder answer = failure == null ? reply : failureOf(failure);
+            ControlReply.Builder result = failure == null ? reply : failureOf(failure);
             send(Envelope.newBuilder()
-                    .setControlReply(answer.setCorrelationId(request.getCorrelationId()))
+                    .setControlReply(result.setCorrelationId(request.getCorrelationId()))
                     .build());
         });
     }
--- a/wire/src/main/java/org/jasminehub/wire/WireClient.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireClient.java
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A connection to one peer, opened on first use and opened again after it was lost.
+ * A client of one peer that connects on first use and reconnects on the next use after the connection was lost.
  *
  * <pre>{@code
  * WireClient client = new WireClient(group, "127.0.0.1", port, hello, peerListener);
@@ -27,8 +27,8 @@
  * <p>Safe for use by several threads.
  */
 public final class WireClient implements AutoCloseable {
-    /** How long a peer may send nothing before its connection counts as lost. */
-    public static final int SILENCE_MILLIS = 5_000;
+    /** How long a peer may send nothing before its connection is closed. */
+    public static final int READ_TIMEOUT_MILLIS = 5_000;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
@@ -41,7 +41,7 @@
     private @Nullable ClientConnection current;
     private boolean closed;
 
-    /** Creates a client of the peer at {@code host} and {@code port}; connects when first used. */
+    /** Creates a client of the peer at {@code host} and {@code port}; it connects on first use. */
     public WireClient(WireGroup group, String host, int port, Supplier<Hello> hello, PeerListener peerListener) {
         this.group = group;
         this.host = host;
@@ -50,17 +50,22 @@
         this.peerListener = peerListener;
     }
 
-    /** Opens the connection if it is not open or opening. */
+    /** Opens the connection unless it is open or being opened. */
     public void connect() {
         connection();
     }
 
-    /** Starts a call; the call's id is filled in. {@code listener} also hears when the connection fails. */
-    public OutgoingCall call(CallStart.Builder start, AnswerListener listener) {
+    /** Starts a call and sets its id in {@code start}; {@code listener} is also called if the connection fails. */
+    public OutgoingCall call(CallStart.Builder start, ResponseListener listener) {
         return connection().call(start, listener);
     }
 
-    /** Sends a control request; the future fails with {@link WireException} where no reply came in time. */
+    /**
+     * Sends a control request.
+     *
+     * @return the reply; fails with {@link WireException} if the connection is closed or lost, and with {@link
+     *     java.util.concurrent.TimeoutException} if no reply arrives within {@code timeoutMillis}
+     */
     public CompletableFuture<ControlReply> request(ControlRequest.Builder request, int timeoutMillis) {
         return connection().request(request).orTimeout(timeoutMillis, TimeUnit.MILLISECONDS);
     }
@@ -75,28 +80,29 @@
 
     private synchronized ClientConnection connection() {
         if (current == null || current.isClosed()) {
-            current = closed ? ClientConnection.closedConnection(peerListener) : open();
+            current = closed ? ClientConnection.closedConnection(peerListener) : openConnection();
         }
         return current;
     }
 
-    private ClientConnection open() {
+    private ClientConnection openConnection() {
         ClientConnection connection = new ClientConnection(hello, peerListener);
-        ChannelFuture connecting = new Bootstrap()
-                .group(group.loops())
+        ChannelFuture connectFuture = new Bootstrap()
+                .group(group.eventLoops())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new IdleStateHandler(SILENCE_MILLIS, 0, 0, TimeUnit.MILLISECONDS));
+                        channel.pipeline()
+                                .addLast(new IdleStateHandler(READ_TIMEOUT_MILLIS, 0, 0, TimeUnit.MILLISECONDS));
                         WireProtocol.addCodec(channel.pipeline());
                         channel.pipeline().addLast(connection);
                     }
                 })
                 .connect(host, port);
-        connecting.addListener(future -> {
+        connectFuture.addListener(future -> {
             if (!future.isSuccess()) {
                 connection.fail();
             }
--- a/wire/src/main/java/org/jasminehub/wire/WireEventKind.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireEventKind.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.event.EventKind;
 import org.jasminehub.core.event.Severity;
 
-/** The events of the transport between processes. */
+/** The log events of the transport between processes. */
 public enum WireEventKind implements EventKind {
     /** A peer's connection was closed because of what it sent. */
     PEER_REJECTED(1020, Severity.WARNING, "A peer's connection was closed because of what it sent.");
--- a/wire/src/main/java/org/jasminehub/wire/WireException.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireException.java
@@ -4,11 +4,11 @@
 import org.jasminehub.core.error.JasminehubException;
 import org.jspecify.annotations.Nullable;
 
-/** A connection between processes failed or a peer broke the protocol. */
+/** Thrown when a connection between processes fails or a peer violates the protocol. */
 public final class WireException extends JasminehubException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the failure; {@code cause} may be null. */
+    /** Creates an exception; {@code cause} may be null. */
     public WireException(String message, @Nullable Throwable cause) {
         super(ErrorCode.PROTOCOL_VIOLATION, message, cause);
     }
--- a/wire/src/main/java/org/jasminehub/wire/WireGroup.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireGroup.java
@@ -8,7 +8,7 @@
 import org.jasminehub.core.internal.Checks;
 
 /**
- * The threads that all connections of a process share.
+ * The I/O threads that all connections of a process share.
  *
  * <pre>{@code
  * try (WireGroup group = new WireGroup(2)) {
@@ -19,25 +19,26 @@
  * <p>Safe for use by several threads.
  */
 public final class WireGroup implements AutoCloseable {
-    private static final long QUIET_MILLIS = 0;
+    private static final long QUIET_PERIOD_MILLIS = 0;
     private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
 
-    private final EventLoopGroup loops;
+    private final EventLoopGroup eventLoops;
 
     /** Starts {@code threadCount} threads, at least 1. */
     public WireGroup(int threadCount) {
         Checks.positive("threadCount", threadCount);
-        this.loops = new MultiThreadIoEventLoopGroup(
+        this.eventLoops = new MultiThreadIoEventLoopGroup(
                 threadCount, new DefaultThreadFactory("wire", true), NioIoHandler.newFactory());
     }
 
-    EventLoopGroup loops() {
-        return loops;
+    EventLoopGroup eventLoops() {
+        return eventLoops;
     }
 
     @Override
     public void close() {
-        loops.shutdownGracefully(QUIET_MILLIS, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        eventLoops
+                .shutdownGracefully(QUIET_PERIOD_MILLIS, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
     }
 }
--- a/wire/src/main/java/org/jasminehub/wire/WireProtocol.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireProtocol.java
@@ -7,12 +7,12 @@
 import io.netty.handler.codec.protobuf.ProtobufEncoder;
 import org.jasminehub.wire.generated.Envelope;
 
-/** The framing and the limits that both sides of a connection share. */
+/** Framing and limits that both ends of a connection share. */
 public final class WireProtocol {
-    /** The version that this program speaks. */
+    /** The protocol version of this process; a peer with another version is disconnected. */
     public static final int VERSION = 1;
 
-    /** The largest message that is read; a larger one closes the connection. */
+    /** The largest accepted message; a larger one closes the connection. */
     public static final int MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
     private static final int LENGTH_FIELD_BYTES = 4;
--- a/wire/src/main/java/org/jasminehub/wire/WireServer.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireServer.java
@@ -16,7 +16,7 @@
 import org.jasminehub.wire.generated.Hello;
 
 /**
- * Accepts connections of peers, their calls and their control requests.
+ * Accepts connections from peers and passes on their calls and control requests.
  *
  * <pre>{@code
  * WireServer server = WireServer.start(group, "127.0.0.1", 0, hello, callHandler, controlHandler, events);
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Starts a server on {@code host} and {@code port}; port 0 takes a free one.
+     * Starts a server on {@code host} and {@code port}; port 0 selects a free port.
      *
      * @throws WireException if the port cannot be bound
      */
@@ -49,9 +49,9 @@
             CallHandler callHandler,
             ControlHandler controlHandler,
             EventSink events) {
-        Set<ServerConnection> open = ConcurrentHashMap.newKeySet();
+        Set<ServerConnection> openConnections = ConcurrentHashMap.newKeySet();
         ChannelFuture binding = new ServerBootstrap()
-                .group(group.loops())
+                .group(group.eventLoops())
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -60,7 +60,8 @@
                     protected void initChannel(Channel accepted) {
                         WireProtocol.addCodec(accepted.pipeline());
                         accepted.pipeline()
-                                .addLast(new ServerConnection(hello, callHandler, controlHandler, events, open));
+                                .addLast(new ServerConnection(
+                                        hello, callHandler, controlHandler, events, openConnections));
                     }
                 })
                 .bind(host, port)
@@ -68,21 +69,21 @@
         if (!binding.isSuccess()) {
             throw new WireException("cannot bind " + host + ":" + port, binding.cause());
         }
-        return new WireServer(hello, open, binding.channel());
+        return new WireServer(hello, openConnections, binding.channel());
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Sends {@code load} to every peer that is connected. */
+    /** Sends {@code load} to every connected peer. */
     public void broadcastLoad(EndpointLoad load) {
         Envelope message = Envelope.newBuilder().setEndpointLoad(load).build();
         connections.forEach(connection -> connection.send(message));
     }
 
-    /** Tells every connected peer again who this process is, for example that it is leaving now. */
+    /** Sends an updated hello to every connected peer, for example when this process starts to leave. */
     public void broadcastHello() {
         Envelope message = Envelope.newBuilder().setHello(hello.get()).build();
         connections.forEach(connection -> connection.send(message));
--- a/wire/src/main/java/org/jasminehub/wire/package-info.java
+++ b/wire/src/main/java/org/jasminehub/wire/package-info.java
@@ -1,8 +1,10 @@
 /**
- * The transport between jasminehub's own processes: protobuf messages over TCP, many calls on one connection.
+ * Transport between the processes of jasminehub: length-prefixed protobuf messages over TCP, with many concurrent calls
+ * on one connection.
  *
  * <p>{@link org.jasminehub.wire.WireServer} accepts calls and control requests, {@link org.jasminehub.wire.WireClient}
- * makes them. Answers flow only against credit, so a slow reader slows the sender and nothing in between grows.
+ * sends them. Response chunks are sent only against credit that the reader has granted, so a slow reader slows down the
+ * sender and no buffer on the way grows without limit.
  */
 @NullMarked
 package org.jasminehub.wire;
--- a/wire/src/test/java/org/jasminehub/wire/WireServerTest.java
+++ b/wire/src/test/java/org/jasminehub/wire/WireServerTest.java
@@ -69,8 +69,8 @@
         public void onDisconnected() {}
     }
 
-    /** Collects an answer as text lines. */
-    private static final class Answer implements AnswerListener {
+    /** Records a response as text lines. */
+    private static final class RecordingResponse implements ResponseListener {
         private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
         @Override
@@ -94,13 +94,13 @@
         }
 
         @Override
-        public void onLost(boolean sent) {
+        public void onConnectionLost(boolean sent) {
             lines.add("lost " + (sent ? "sent" : "unsent"));
         }
     }
 
-    /** Notes what an incoming call hears. */
-    private static final class Control implements CallListener {
+    /** Records credit and cancellation of an incoming call as text lines. */
+    private static final class RecordingCall implements CallListener {
         private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
         @Override
@@ -117,66 +117,66 @@
     @Nested
     final class Calls {
         @Test
-        void testAnswerArrivesInOrderWithItsCount() throws InterruptedException {
-            Answer answer = new Answer();
-            client(HELLO).call(CallStart.newBuilder(), answer);
+        void testResponseArrivesInOrderWithChunkCount() throws InterruptedException {
+            RecordingResponse response = new RecordingResponse();
+            client(HELLO).call(CallStart.newBuilder(), response);
             IncomingCall call = arrived.take();
             call.head(200, List.of());
             call.chunk(ByteString.copyFromUtf8("a"));
             call.chunk(ByteString.copyFromUtf8("b"));
             call.end();
-            assertEquals("head 200", answer.lines.take());
-            assertEquals("chunk 0 a", answer.lines.take());
-            assertEquals("chunk 1 b", answer.lines.take());
-            assertEquals("end 2", answer.lines.take());
+            assertEquals("head 200", response.lines.take());
+            assertEquals("chunk 0 a", response.lines.take());
+            assertEquals("chunk 1 b", response.lines.take());
+            assertEquals("end 2", response.lines.take());
         }
 
         @Test
-        void testNothingFollowsARefusal() throws InterruptedException {
-            Answer answer = new Answer();
+        void testMessagesAfterRefusalAreDropped() throws InterruptedException {
+            RecordingResponse response = new RecordingResponse();
             WireClient client = client(HELLO);
-            client.call(CallStart.newBuilder(), answer);
+            client.call(CallStart.newBuilder(), response);
             IncomingCall first = arrived.take();
             first.refuse(AnswerRefused.newBuilder().setCode("overloaded"));
             first.chunk(ByteString.copyFromUtf8("late"));
             first.end();
-            Answer second = new Answer();
+            RecordingResponse second = new RecordingResponse();
             client.call(CallStart.newBuilder(), second);
             arrived.take().end();
             assertEquals("end 0", second.lines.take());
-            assertEquals("refused overloaded", answer.lines.take());
-            assertTrue(answer.lines.isEmpty());
+            assertEquals("refused overloaded", response.lines.take());
+            assertTrue(response.lines.isEmpty());
         }
 
         @Test
-        void testCreditAndCancelReachTheCall() throws InterruptedException {
-            OutgoingCall outgoing = client(HELLO).call(CallStart.newBuilder(), new Answer());
-            Control control = new Control();
-            arrived.take().listen(control);
+        void testCreditAndCancellationReachListener() throws InterruptedException {
+            OutgoingCall outgoing = client(HELLO).call(CallStart.newBuilder(), new RecordingResponse());
+            RecordingCall callListener = new RecordingCall();
+            arrived.take().setListener(callListener);
             outgoing.credit(3);
             outgoing.cancel();
-            assertEquals("credit 3", control.lines.take());
-            assertEquals("cancel", control.lines.take());
+            assertEquals("credit 3", callListener.lines.take());
+            assertEquals("cancel", callListener.lines.take());
         }
 
         @Test
-        void testCallerThatDisconnectsCancelsItsCalls() throws InterruptedException {
+        void testDisconnectCancelsCalls() throws InterruptedException {
             WireClient client = client(HELLO);
-            client.call(CallStart.newBuilder(), new Answer());
-            Control control = new Control();
-            arrived.take().listen(control);
+            client.call(CallStart.newBuilder(), new RecordingResponse());
+            RecordingCall callListener = new RecordingCall();
+            arrived.take().setListener(callListener);
             client.close();
-            assertEquals("cancel", control.lines.take());
+            assertEquals("cancel", callListener.lines.take());
         }
 
         @Test
-        void testLossAfterSendingIsToldFromLossBefore() throws InterruptedException {
-            Answer sent = new Answer();
+        void testConnectionLossReportsWhetherCallWasSent() throws InterruptedException {
+            RecordingResponse sent = new RecordingResponse();
             client(HELLO).call(CallStart.newBuilder(), sent);
             arrived.take();
             server.close();
             assertEquals("lost sent", sent.lines.take());
-            Answer unsent = new Answer();
+            RecordingResponse unsent = new RecordingResponse();
             client(HELLO).call(CallStart.newBuilder(), unsent);
             assertEquals("lost unsent", unsent.lines.take());
         }
@@ -185,7 +185,7 @@
     @Nested
     final class Requests {
         @Test
-        void testRequestGetsTheReplyOfItsHandler() {
+        void testRequestReceivesReplyOfHandler() {
             router.on(
                     ControlRequest.BodyCase.STATUS,
                     request -> CompletableFuture.completedFuture(ControlReply.newBuilder()
@@ -197,7 +197,7 @@
         }
 
         @Test
-        void testRequestWithoutHandlerGetsATypedFailure() {
+        void testRequestWithoutHandlerReceivesFailure() {
             ControlReply reply = client(HELLO)
                     .request(ControlRequest.newBuilder().setStatus(StatusRequest.getDefaultInstance()), 30_000)
                     .join();
@@ -206,7 +206,7 @@
     }
 
     @Nested
-    final class BadPeers {
+    final class InvalidPeers {
         private void sendRaw(byte[] bytes) throws IOException {
             try (Socket socket = new Socket(HOST, server.port())) {
                 socket.getOutputStream().write(bytes);
@@ -217,25 +217,25 @@
             }
         }
 
-        private void assertOthersAreServed() throws InterruptedException {
-            Answer answer = new Answer();
-            client(HELLO).call(CallStart.newBuilder(), answer);
+        private void assertOtherPeersAreServed() throws InterruptedException {
+            RecordingResponse response = new RecordingResponse();
+            client(HELLO).call(CallStart.newBuilder(), response);
             arrived.take().end();
-            assertEquals("end 0", answer.lines.take());
+            assertEquals("end 0", response.lines.take());
         }
 
         @Test
-        void testGarbageClosesOnlyItsOwnConnection() throws Exception {
+        void testInvalidFrameClosesOnlyItsConnection() throws Exception {
             sendRaw("GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             assertTrue(events.take() instanceof PeerRejected);
-            assertOthersAreServed();
+            assertOtherPeersAreServed();
         }
 
         @Test
-        void testBytesThatAreNoMessageCloseTheConnection() throws Exception {
+        void testUndecodableMessageClosesConnection() throws Exception {
             sendRaw(new byte[] {0, 0, 0, 3, 127, 127, 127});
             assertTrue(events.take() instanceof PeerRejected);
-            assertOthersAreServed();
+            assertOtherPeersAreServed();
         }
 
         @Test
@@ -248,19 +248,19 @@
             framed[3] = (byte) message.length;
             System.arraycopy(message, 0, framed, 4, message.length);
             sendRaw(framed);
-            assertEquals("no hello", ((PeerRejected) events.take()).reason());
+            assertEquals("the first message is not a hello", ((PeerRejected) events.take()).reason());
             assertTrue(arrived.isEmpty());
         }
 
         @Test
-        void testOtherProtocolVersionIsRejectedAndItsCallNeverRuns() throws Exception {
-            Answer answer = new Answer();
+        void testUnsupportedProtocolVersionIsRejectedBeforeCallRuns() throws Exception {
+            RecordingResponse response = new RecordingResponse();
             Hello other = HELLO.toBuilder().setProtocolVersion(99).build();
-            client(other).call(CallStart.newBuilder(), answer);
-            assertEquals("protocol version 99", ((PeerRejected) events.take()).reason());
-            assertTrue(answer.lines.take().startsWith("lost"));
+            client(other).call(CallStart.newBuilder(), response);
+            assertEquals("unsupported protocol version 99", ((PeerRejected) events.take()).reason());
+            assertTrue(response.lines.take().startsWith("lost"));
             assertTrue(arrived.isEmpty());
-            assertOthersAreServed();
+            assertOtherPeersAreServed();
         }
 
         @Test
@@ -268,7 +268,7 @@
             sendRaw(new byte[] {127, 0, 0, 0, 1});
             assertFalse(events.take() instanceof PeerRejected rejected
                     && rejected.reason().isEmpty());
-            assertOthersAreServed();
+            assertOtherPeersAreServed();
         }
     }
 }
