--- a/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
+++ b/agent/src/test/java/org/jasminehub/agent/lease/OrderFilterTest.java
@@ -135,7 +135,7 @@
 
     @Test
     void testClaimWithLostResponseIsFoundInLog() {
-        log.loseAnswers(1);
+        log.loseResponses(1);
         clock.advanceMillis(EXPIRY_MILLIS);
         first.claim();
         assertTrue(first.holds());
--- a/app/src/main/java/org/jasminehub/app/AgentCommand.java
+++ b/app/src/main/java/org/jasminehub/app/AgentCommand.java
@@ -9,7 +9,7 @@
 import org.jasminehub.runtime.metrics.OperationsServer;
 import org.jasminehub.runtime.settings.SettingsLoader;
 
-/** Runs an agent. */
+/** Runs an agent until the process is terminated. */
 @Parameters(commandDescription = "runs the agent beside an endpoint")
 final class AgentCommand extends Command {
     private final PrintStream out;
--- a/app/src/main/java/org/jasminehub/app/BenchCommand.java
+++ b/app/src/main/java/org/jasminehub/app/BenchCommand.java
@@ -14,13 +14,13 @@
 import org.jasminehub.bench.operation.OperationBench;
 import org.jasminehub.bench.routing.RoutingBench;
 
-/** Runs a measurement and prints its table. */
-@Parameters(commandDescription = "runs a measurement and prints its table")
+/** Runs a benchmark and prints its results as a table. */
+@Parameters(commandDescription = "runs a benchmark and prints its results as a table")
 final class BenchCommand extends Command {
     private final PrintStream out;
     private final Map<String, Consumer<PrintStream>> benches = new TreeMap<>();
 
-    @Parameter(description = "the measurement's name", required = true)
+    @Parameter(description = "the name of the benchmark", required = true)
     private String name = "";
 
     BenchCommand(PrintStream out) {
@@ -37,7 +37,7 @@
     int run() {
         Consumer<PrintStream> bench = benches.get(name);
         if (bench == null) {
-            throw new ParameterException("no measurement \"" + name + "\"; there are " + benches.keySet());
+            throw new ParameterException("unknown benchmark \"" + name + "\", expected one of " + benches.keySet());
         }
         bench.accept(out);
         return Main.EXIT_OK;
--- a/app/src/main/java/org/jasminehub/app/Command.java
+++ b/app/src/main/java/org/jasminehub/app/Command.java
@@ -2,12 +2,12 @@
 
 import com.beust.jcommander.Parameter;
 
-/** One command of the command line; its parameters are filled in before it runs. */
+/** A command of the command line; the command line parser sets its parameters before it runs. */
 abstract class Command {
     @Parameter(names = "--help", help = true, description = "shows this help")
     private boolean help;
 
-    final boolean isHelpWanted() {
+    final boolean isHelpRequested() {
         return help;
     }
 
--- a/app/src/main/java/org/jasminehub/app/DemoCommand.java
+++ b/app/src/main/java/org/jasminehub/app/DemoCommand.java
@@ -5,8 +5,8 @@
 import java.io.PrintStream;
 import org.jasminehub.app.demo.Demo;
 
-/** Runs the whole system in one process on stand-ins. */
-@Parameters(commandDescription = "runs the whole system on stand-ins, on loopback")
+/** Runs the complete system with stand-ins in one process, until the process is terminated. */
+@Parameters(commandDescription = "runs the complete system with stand-ins, on loopback")
 final class DemoCommand extends Command {
     private final PrintStream out;
 
@@ -23,7 +23,7 @@
         Demo demo = new Demo(runtime, port);
         demo.awaitReady();
         out.println("ready " + String.join(" ", demo.entryAddresses()));
-        out.println(demo.commandsToPaste());
+        out.println(demo.exampleCommands());
         ProcessRuntime.awaitTermination(() -> {
             demo.close();
             runtime.close();
--- a/app/src/main/java/org/jasminehub/app/EntryCommand.java
+++ b/app/src/main/java/org/jasminehub/app/EntryCommand.java
@@ -11,7 +11,7 @@
 import org.jasminehub.runtime.metrics.OperationsServer;
 import org.jasminehub.runtime.settings.SettingsLoader;
 
-/** Runs an entry instance. */
+/** Runs an entry instance until the process is terminated. */
 @Parameters(commandDescription = "runs an entry instance")
 final class EntryCommand extends Command {
     private final PrintStream out;
--- a/app/src/main/java/org/jasminehub/app/Main.java
+++ b/app/src/main/java/org/jasminehub/app/Main.java
@@ -36,13 +36,18 @@
         commands.put("bench", new BenchCommand(out));
     }
 
-    /** Runs the command line and ends the process with its exit code. */
+    /** Runs the command line and exits the process with its exit code. */
     public static void main(String[] args) {
         int code = new Main(System.out, System.err).run(args);
         System.exit(code);
     }
 
-    /** Runs one command and returns the exit code: 0 done, 1 failed, 2 bad arguments or settings. */
+    /**
+     * Runs one command and returns its exit code.
+     *
+     * @return {@link #EXIT_OK} on success, {@link #EXIT_FAILURE} on failure, {@link #EXIT_USAGE} if the arguments or
+     *     settings are invalid
+     */
     int run(String... args) {
         JCommander parser = JCommander.newBuilder()
                 .programName("jasminehub")
@@ -72,7 +77,7 @@
             return help ? EXIT_OK : EXIT_USAGE;
         }
         Command command = commands.get(name);
-        if (command == null || command.isHelpWanted()) {
+        if (command == null || command.isHelpRequested()) {
             StringBuilder usage = new StringBuilder();
             parser.getUsageFormatter().usage(name, usage);
             out.print(usage);
--- a/app/src/main/java/org/jasminehub/app/Operations.java
+++ b/app/src/main/java/org/jasminehub/app/Operations.java
@@ -6,7 +6,7 @@
 import org.jasminehub.runtime.metrics.OperationsServer;
 import org.jasminehub.runtime.settings.SettingsException;
 
-/** Starts operations endpoints; a port that cannot be bound is a fault of the settings. */
+/** Starts operations servers; a port that cannot be bound is reported as invalid settings. */
 final class Operations {
     private Operations() {}
 
@@ -14,7 +14,7 @@
         try {
             return new OperationsServer(host, port, metrics, () -> true, readiness);
         } catch (IOException e) {
-            throw new SettingsException("settings", "operationsPort", Integer.toString(port), "a port that is free");
+            throw new SettingsException("settings", "operationsPort", Integer.toString(port), "a free port");
         }
     }
 }
--- a/app/src/main/java/org/jasminehub/app/ProcessRuntime.java
+++ b/app/src/main/java/org/jasminehub/app/ProcessRuntime.java
@@ -10,7 +10,7 @@
 import org.jasminehub.runtime.time.SystemClock;
 import org.jasminehub.wire.WireGroup;
 
-/** What the parts of one process share: actor system, transport threads, clock, event log and metrics. */
+/** The shared services of one process: actor system, transport threads, clock, event log and metrics. */
 public final class ProcessRuntime implements AutoCloseable {
     private static final int WIRE_THREADS = 2;
 
@@ -20,7 +20,7 @@
     private final MetricRegistry metrics = new MetricRegistry();
     private final EventSink events;
 
-    /** Starts the threads of a process whose log lines name {@code instance}. */
+    /** Starts the threads of a process whose log lines carry the name {@code instance}. */
     public ProcessRuntime(String instance) {
         this.system = ActorSystem.create(Behaviors.empty(), "jasminehub");
         this.events = new EventLog(instance);
@@ -31,12 +31,12 @@
         return system;
     }
 
-    /** Returns the transport's threads. */
+    /** Returns the transport threads. */
     public WireGroup group() {
         return group;
     }
 
-    /** Returns the machine's clock. */
+    /** Returns the system clock. */
     public Clock clock() {
         return clock;
     }
@@ -51,7 +51,7 @@
         return metrics;
     }
 
-    /** Blocks until the process is told to end, then runs {@code stop}. */
+    /** Blocks until the process is terminated, and runs {@code stop} in a shutdown hook. */
     static void awaitTermination(Runnable stop) {
         CountDownLatch stopped = new CountDownLatch(1);
         Thread hook = new Thread(
--- a/app/src/main/java/org/jasminehub/app/demo/Demo.java
+++ b/app/src/main/java/org/jasminehub/app/demo/Demo.java
@@ -24,9 +24,10 @@
 import org.jasminehub.standin.LogStandin;
 
 /**
- * Three entry instances, four agents with their endpoints, and the platform's stand-ins, over real sockets on loopback.
+ * Three entry instances, four agents with their endpoints, and the stand-ins of the platform, connected by real sockets
+ * on loopback.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 public final class Demo implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
@@ -50,7 +51,7 @@
     private final List<Agent> agents = new ArrayList<>();
     private final List<EntryInstance> entries = new ArrayList<>();
 
-    /** Starts everything; {@code firstPort} is the caller port of the first entry instance, 0 for a free one. */
+    /** Starts all instances; {@code firstPort} is the caller port of the first entry instance, 0 for a free one. */
     public Demo(ProcessRuntime runtime, int firstPort) {
         this.runtime = runtime;
         this.log = new LogStandin(runtime.system(), 0);
@@ -68,20 +69,20 @@
         }
     }
 
-    /** Returns the callers' addresses of the entry instances. */
+    /** Returns the addresses on which the entry instances accept callers. */
     public List<String> entryAddresses() {
         return entries.stream().map(entry -> HOST + ":" + entry.callerPort()).toList();
     }
 
-    /** Blocks until every entry instance knows its documents and is connected to every agent. */
+    /** Blocks until every entry instance has loaded its documents and is connected to every agent. */
     public void awaitReady() {
         while (!entries.stream().allMatch(this::isReady)) {
             LockSupport.parkNanos(POLL_NANOS);
         }
     }
 
-    /** Returns commands that a user can paste into a shell. */
-    public String commandsToPaste() {
+    /** Returns example requests as shell commands. */
+    public String exampleCommands() {
         String address = "http://" + entryAddresses().get(0);
         return String.join(
                 "\n",
@@ -105,7 +106,7 @@
         return List.copyOf(engines);
     }
 
-    /** Returns the agents: those of the model engines in the order of {@link #engines}, then that of the bookings. */
+    /** Returns the agents of the model engines, in the order of {@link #engines}, followed by that of the bookings. */
     public List<Agent> agents() {
         return List.copyOf(agents);
     }
--- a/app/src/main/java/org/jasminehub/app/demo/DemoDocument.java
+++ b/app/src/main/java/org/jasminehub/app/demo/DemoDocument.java
@@ -14,12 +14,12 @@
 public final class DemoDocument {
     private DemoDocument() {}
 
-    /** Returns the log record that publishes it as the team's first document. */
+    /** Returns the log record that publishes the demo document as the first document of its team. */
     public static byte[] firstRecord() {
         return firstRecord(text());
     }
 
-    /** Returns the log record that publishes {@code text} as its team's first document. */
+    /** Returns the log record that publishes {@code text} as the first document of its team. */
     public static byte[] firstRecord(String text) {
         String team = new DocumentYamlAdapter().read(text).team();
         PublishRecord publish =
@@ -27,7 +27,7 @@
         return new HistoryRecordCodec().encode(publish);
     }
 
-    /** Returns the document's text. */
+    /** Returns the text of the demo document. */
     public static String text() {
         try (InputStream document = DemoDocument.class.getResourceAsStream("/demo/document.yaml")) {
             byte[] bytes =
--- a/app/src/main/java/org/jasminehub/app/demo/package-info.java
+++ b/app/src/main/java/org/jasminehub/app/demo/package-info.java
@@ -1,4 +1,4 @@
-/** The whole system in one process on stand-ins, for a first look and for tests. */
+/** The complete system with stand-ins in one process, for demonstration and tests. */
 @NullMarked
 package org.jasminehub.app.demo;
 
--- a/app/src/main/java/org/jasminehub/app/package-info.java
+++ b/app/src/main/java/org/jasminehub/app/package-info.java
@@ -1,4 +1,4 @@
-/** The binary {@code jasminehub}: command line, wiring of processes, and the demo. */
+/** The program {@code jasminehub}: its command line, the setup of its processes, and the demo. */
 @NullMarked
 package org.jasminehub.app;
 
--- a/app/src/test/java/org/jasminehub/app/PlatformBoundaryTest.java
+++ b/app/src/test/java/org/jasminehub/app/PlatformBoundaryTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The hosting platform's names appear in its adapter and nowhere else. */
+/** Checks that names defined by the hosting platform appear only in the adapter, the platform module. */
 final class PlatformBoundaryTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern PLATFORM_NAMES = Pattern.compile("\"(X-(Attempt-Id|Not-Executed|Expected-Instance"
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void testOnlyTheAdapterKnowsThePlatformsNames() throws IOException {
+    void testPlatformNamesAppearOnlyInAdapter() throws IOException {
         List<String> found = new ArrayList<>();
         int inAdapter = 0;
         for (Path source : sources()) {
--- a/app/src/test/java/org/jasminehub/app/operations/BookingFailureTest.java
+++ b/app/src/test/java/org/jasminehub/app/operations/BookingFailureTest.java
@@ -39,20 +39,20 @@
     private void assertOutcome(String outcome, HttpResponse<String> response) {
         assertTrue(response.body().contains("\"outcome\":\"" + outcome + "\""), response.body());
         if (outcome.equals("not-run")) {
-            assertEquals(0, system.runsOf(body));
+            assertEquals(0, system.runCount(body));
         }
     }
 
     private void assertDone(HttpResponse<String> response) {
         assertEquals(201, response.statusCode(), response.body());
-        assertEquals(1, system.runsOf(body));
+        assertEquals(1, system.runCount(body));
     }
 
-    private CompletableFuture<HttpResponse<String>> bookUntilItRuns(int entry, String key) {
-        system.bookings.holdAnswers();
-        CompletableFuture<HttpResponse<String>> answer = system.postLater(entry, key, body);
-        BookingSystem.await(() -> system.runsOf(body) == 1);
-        return answer;
+    private CompletableFuture<HttpResponse<String>> bookAndAwaitRun(int entry, String key) {
+        system.bookings.holdResponses();
+        CompletableFuture<HttpResponse<String>> response = system.postAsync(entry, key, body);
+        BookingSystem.await(() -> system.runCount(body) == 1);
+        return response;
     }
 
     private void killHome() {
@@ -62,51 +62,51 @@
     @Nested
     final class Agents {
         @Test
-        void testKillBeforeTheRunIsNeverCalledNotRunAfterARun() {
-            String key = system.keyAt(HOME);
+        void testHomeKilledBeforeRunIsReportedAsUnknown() {
+            String key = system.keyWithHome(HOME);
             killHome();
             assertOutcome("unknown", system.post(1, key, body));
             assertOutcome("unknown", system.post(2, key, body));
-            assertEquals(0, system.runsOf(body));
+            assertEquals(0, system.runCount(body));
         }
 
         @Test
-        void testKillDuringTheRunLeavesOneRunThroughRestartAndChangeOfHome() {
-            String key = system.keyAt(HOME);
-            CompletableFuture<HttpResponse<String>> first = bookUntilItRuns(1, key);
+        void testHomeKilledDuringRunLeavesOneRunAfterHomeChangeAndRestart() {
+            String key = system.keyWithHome(HOME);
+            CompletableFuture<HttpResponse<String>> first = bookAndAwaitRun(1, key);
             long epoch = system.epoch();
             killHome();
             assertOutcome("unknown", first.join());
             assertOutcome("unknown", system.post(2, key, body));
-            system.awaitTable(epoch, 1);
+            system.awaitHomeTable(epoch, 1);
             assertOutcome("unknown", system.post(2, key, body));
             system.startAgent(HOME);
-            system.awaitTable(epoch + 1, 2);
+            system.awaitHomeTable(epoch + 1, 2);
             assertOutcome("unknown", system.post(2, key, body));
-            assertEquals(1, system.runsOf(body));
+            assertEquals(1, system.runCount(body));
         }
 
         @Test
-        void testKillAfterTheRunLeavesOneRun() {
-            String key = system.keyAt(HOME);
+        void testHomeKilledAfterRunLeavesOneRun() {
+            String key = system.keyWithHome(HOME);
             assertDone(system.post(1, key, body));
             killHome();
             assertOutcome("unknown", system.post(2, key, body));
-            assertEquals(1, system.runsOf(body));
+            assertEquals(1, system.runCount(body));
         }
 
         @Test
-        void testPlannedStopHandsItsKeysOver() {
-            String done = system.keyAt(HOME);
-            String fresh = system.keyAt(HOME);
+        void testDrainedHomeHandsOverItsKeys() {
+            String done = system.keyWithHome(HOME);
+            String fresh = system.keyWithHome(HOME);
             HttpResponse<String> first = system.post(1, done, body);
             assertDone(first);
             long epoch = system.epoch();
             system.agents.get(HOME).leave();
-            system.awaitTable(epoch, 1);
+            system.awaitHomeTable(epoch, 1);
             BookingSystem.await(() -> system.post(2, done, body).statusCode() == 201);
             assertEquals(first.body(), system.post(2, done, body).body());
-            assertEquals(1, system.runsOf(body));
+            assertEquals(1, system.runCount(body));
             assertEquals(201, system.post(2, fresh, "{\"after\":\"handover\"}").statusCode());
         }
     }
@@ -114,65 +114,65 @@
     @Nested
     final class Services {
         @Test
-        void testServiceThatIsDownNeverRunsWhatWasCalledNotRun() {
-            String key = system.keyAt(HOME);
+        void testServiceThatIsDownIsReportedAsNotRun() {
+            String key = system.keyWithHome(HOME);
             system.bookings.close();
             assertOutcome("not-run", system.post(1, key, body));
             assertOutcome("not-run", system.post(2, key, body));
         }
 
         @Test
-        void testKillDuringTheRunIsUnknownForEveryRepeat() {
-            String key = system.keyAt(HOME);
-            CompletableFuture<HttpResponse<String>> first = bookUntilItRuns(1, key);
-            system.bookings.closeWithoutAnswers();
+        void testServiceKilledDuringRunIsUnknownForEveryRetry() {
+            String key = system.keyWithHome(HOME);
+            CompletableFuture<HttpResponse<String>> first = bookAndAwaitRun(1, key);
+            system.bookings.closeWithoutResponding();
             assertOutcome("unknown", first.join());
             assertOutcome("unknown", system.post(2, key, body));
-            assertEquals(1, system.runsOf(body));
+            assertEquals(1, system.runCount(body));
         }
     }
 
     @Nested
     final class EntryInstances {
         @Test
-        void testKillDuringTheRunLetsTheRepeatJoinIt() {
-            String key = system.keyAt(HOME);
-            CompletableFuture<HttpResponse<String>> first = bookUntilItRuns(1, key);
+        void testRetryAfterEntryKilledDuringRunJoinsTheRun() {
+            String key = system.keyWithHome(HOME);
+            CompletableFuture<HttpResponse<String>> first = bookAndAwaitRun(1, key);
             system.entries.get(0).close();
             assertThrows(CompletionException.class, first::join);
-            CompletableFuture<HttpResponse<String>> repeat = system.postLater(2, key, body);
-            system.bookings.releaseAnswers();
-            assertDone(repeat.join());
+            CompletableFuture<HttpResponse<String>> retry = system.postAsync(2, key, body);
+            system.bookings.releaseResponses();
+            assertDone(retry.join());
         }
 
         @Test
-        void testKillAfterTheRunLetsTheRepeatGetItsResult() {
-            String key = system.keyAt(OTHER);
+        void testRetryAfterEntryKilledAfterRunReturnsItsResult() {
+            String key = system.keyWithHome(OTHER);
             HttpResponse<String> first = system.post(1, key, body);
             system.entries.get(0).close();
-            HttpResponse<String> repeat = system.post(2, key, body);
-            assertDone(repeat);
-            assertEquals(first.body(), repeat.body());
+            HttpResponse<String> retry = system.post(2, key, body);
+            assertDone(retry);
+            assertEquals(first.body(), retry.body());
         }
 
         @Test
-        void testKillBeforeTheRunLetsTheRepeatRun() {
+        void testRequestRunsAfterOtherEntryIsKilled() {
             system.entries.get(0).close();
-            assertDone(system.post(2, system.keyAt(HOME), body));
+            assertDone(system.post(2, system.keyWithHome(HOME), body));
         }
 
         @Test
-        void testTwoAtOnceLeadOneKeyToOneRun() {
-            String key = system.keyAt(HOME);
-            CompletableFuture<HttpResponse<String>> first = system.postLater(1, key, body);
-            CompletableFuture<HttpResponse<String>> second = system.postLater(2, key, body);
+        void testConcurrentRequestsWithOneKeyRunOnce() {
+            String key = system.keyWithHome(HOME);
+            CompletableFuture<HttpResponse<String>> first = system.postAsync(1, key, body);
+            CompletableFuture<HttpResponse<String>> second = system.postAsync(2, key, body);
             assertEquals(first.join().body(), second.join().body());
             assertDone(second.join());
         }
 
         @Test
         void testSameKeyWithAnotherBodyIsRefused() {
-            String key = system.keyAt(HOME);
+            String key = system.keyWithHome(HOME);
             system.post(1, key, "{\"trip\":\"another\"}");
             HttpResponse<String> response = system.post(2, key, body);
             assertEquals(422, response.statusCode());
@@ -183,23 +183,23 @@
     @Nested
     final class LogOutages {
         @Test
-        void testBookingsRunOnWhileTheLogIsDown() {
+        void testBookingsRunWhileLogIsDown() {
             system.log.setDown(true);
-            String key = system.keyAt(HOME);
+            String key = system.keyWithHome(HOME);
             assertDone(system.post(1, key, body));
             assertDone(system.post(2, key, body));
         }
 
         @Test
-        void testIssuedKeyRunsWhileTheLogIsDownAndAHomeIsGone() {
+        void testIssuedKeyRunsWhileLogAndOneHomeAreDown() {
             system.log.setDown(true);
             killHome();
             BookingSystem.await(() -> !system.issueKey(1).contains(HOME));
             String key = system.issueKey(1);
             assertDone(system.post(1, key, body));
             assertDone(system.post(2, key, body));
-            assertOutcome("unknown", system.post(1, system.keyAt(HOME), "{\"trip\":\"homeless\"}"));
-            assertEquals(0, system.runsOf("{\"trip\":\"homeless\"}"));
+            assertOutcome("unknown", system.post(1, system.keyWithHome(HOME), "{\"trip\":\"homeless\"}"));
+            assertEquals(0, system.runCount("{\"trip\":\"homeless\"}"));
         }
     }
 }
--- a/app/src/test/java/org/jasminehub/app/operations/BookingSystem.java
+++ b/app/src/test/java/org/jasminehub/app/operations/BookingSystem.java
@@ -36,7 +36,7 @@
 import org.jasminehub.standin.InstanceListStandin;
 import org.jasminehub.standin.LogStandin;
 
-/** Two entry instances and two agents before one booking service, over real sockets; each can be ended at any time. */
+/** Two entry instances and two agents in front of one booking service, over real sockets; each can be stopped. */
 final class BookingSystem implements AutoCloseable {
     private static final Target BOOKINGS = Target.service("bookings");
     private static final Target MODEL = Target.model("campaign-text");
@@ -65,20 +65,20 @@
         awaitBookings();
     }
 
-    /** Waiting for the system sends many bookings, which must not use up the limits of those under test. */
+    /** Raises the limits, since the polling in {@link #awaitBookings} would otherwise use up the limits of the test. */
     private static String withoutTightLimits(String document) {
         return document.replaceAll("requestsPerSecond: \\d+", "requestsPerSecond: 100000")
                 .replaceAll("tokensPerSecond: \\d+", "tokensPerSecond: 10000000")
                 .replaceAll("concurrentRequests: \\d+", "concurrentRequests: 1000");
     }
 
-    /** Waits until both homes take bookings, with keys that no test uses. */
+    /** Waits until both homes accept bookings, polling with random keys that no test uses. */
     private void awaitBookings() {
         for (EntryInstance entry : entries) {
             await(() -> entry.homes().current("bookings").isPresent());
         }
         for (String agent : List.copyOf(agents.keySet())) {
-            await(() -> post(1, keyAt(agent), "{\"warm-up\":true}").statusCode() == 201);
+            await(() -> post(1, keyWithHome(agent), "{\"warm-up\":true}").statusCode() == 201);
         }
     }
 
@@ -90,7 +90,7 @@
         list.put(member(name, MemberRole.AGENT, agent.wirePort(), 0, List.of(BOOKINGS)));
     }
 
-    /** Starts an agent beside an engine of its own. */
+    /** Starts an agent with its own engine. */
     void startEngine(String name) {
         EngineStandin engine = new EngineStandin(runtime.system(), 0, 5, 8);
         engines.add(engine);
@@ -120,7 +120,7 @@
         return HOST + ":" + entries.get(entry - 1).callerPort();
     }
 
-    /** Returns the address list that entry instance 1 or 2 gives. */
+    /** Returns the address list that entry instance 1 or 2 serves. */
     String addressesAt(int entry) {
         URI uri = URI.create("http://" + address(entry) + "/v1/addresses?workspace=cooperative");
         return client.sendAsync(HttpRequest.newBuilder(uri).build(), BodyHandlers.ofString())
@@ -149,8 +149,8 @@
         return new Member(id, role, MemberState.LIVE, domain, HOST, wirePort, callerPort, serves);
     }
 
-    /** Returns a fresh key whose home is {@code agent} by what the second entry instance knows. */
-    String keyAt(String agent) {
+    /** Returns a new key whose home is {@code agent} according to the home table of the second entry instance. */
+    String keyWithHome(String agent) {
         HomeTable table = entries.get(1).homes().current("bookings").orElseThrow();
         while (true) {
             String key = UUID.randomUUID().toString();
@@ -165,8 +165,8 @@
         return table.home(id).map(AgentIncarnation::agent).orElseThrow().value();
     }
 
-    /** Waits until the table that the second entry instance knows has {@code count} agents after {@code epoch}. */
-    void awaitTable(long epoch, int count) {
+    /** Waits until the second entry instance has a home table newer than {@code epoch} with {@code count} agents. */
+    void awaitHomeTable(long epoch, int count) {
         await(() -> entries.get(1)
                 .homes()
                 .current("bookings")
@@ -179,11 +179,11 @@
     }
 
     HttpResponse<String> post(int entry, String key, String body) {
-        return postLater(entry, key, body).join();
+        return postAsync(entry, key, body).join();
     }
 
-    /** Books through entry instance 1 or 2; the future fails where the answer was cut. */
-    CompletableFuture<HttpResponse<String>> postLater(int entry, String key, String body) {
+    /** Books through entry instance 1 or 2; the future fails if the response is interrupted. */
+    CompletableFuture<HttpResponse<String>> postAsync(int entry, String key, String body) {
         HttpRequest request = HttpRequest.newBuilder(URI.create(
                         "http://" + HOST + ":" + entries.get(entry - 1).callerPort() + "/services/bookings/trips"))
                 .headers("X-Workspace", "cooperative", "Idempotency-Key", key)
@@ -192,7 +192,7 @@
         return client.sendAsync(request, BodyHandlers.ofString());
     }
 
-    /** Returns a key that an agent issued, asked for at entry instance 1 or 2. */
+    /** Requests a key through entry instance 1 or 2 and returns it; an agent issues the key. */
     String issueKey(int entry) {
         URI uri = URI.create(
                 "http://" + HOST + ":" + entries.get(entry - 1).callerPort() + "/v1/operation-keys?service=bookings");
@@ -203,14 +203,14 @@
         return body.split("\"")[3];
     }
 
-    long runsOf(String body) {
+    long runCount(String body) {
         return bookings.bookings().stream().filter(body::equals).count();
     }
 
     static void await(BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             if (Thread.currentThread().isInterrupted()) {
-                throw new AssertionError("the test's time is up");
+                throw new AssertionError("interrupted while waiting for a condition");
             }
             LockSupport.parkNanos(POLL_NANOS);
         }
--- a/app/src/test/java/org/jasminehub/app/operations/PlannedStopTest.java
+++ b/app/src/test/java/org/jasminehub/app/operations/DrainTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-final class PlannedStopTest {
+final class DrainTest {
     private static final int TOKENS = 150;
 
     private ProcessRuntime runtime;
@@ -36,7 +36,7 @@
         runtime.close();
     }
 
-    private static void assertWhole(CompletableFuture<HttpResponse<String>> stream) {
+    private static void assertComplete(CompletableFuture<HttpResponse<String>> stream) {
         String body = stream.join().body();
         long events = body.lines().filter(line -> line.startsWith("data: {")).count();
         assertEquals(TOKENS, events, body);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void testEntryInstanceServesOldAddressesAndCutsNothing() {
+    void testDrainingEntryServesOldAddressesAndInterruptsNothing() {
         CompletableFuture<HttpResponse<String>> before = system.stream(1, TOKENS);
         String leaving = system.address(1);
         var stopped = system.entries.get(0).drain().toCompletableFuture();
@@ -55,12 +55,12 @@
         stopped.join();
         assertTrue(before.isDone() && byOldAddress.isDone());
         system.entries.get(0).close();
-        assertWhole(before);
-        assertWhole(byOldAddress);
+        assertComplete(before);
+        assertComplete(byOldAddress);
     }
 
     @Test
-    void testAgentsStopInTurnAndCutNoStream() {
+    void testAgentsDrainInTurnWithoutInterruptingStreams() {
         List<CompletableFuture<HttpResponse<String>>> streams = new ArrayList<>();
         for (String name : List.of("text-1", "text-2")) {
             Agent leaving = system.agents.get(name);
@@ -74,6 +74,6 @@
             leaving.close();
             system.startEngine(name);
         }
-        streams.forEach(PlannedStopTest::assertWhole);
+        streams.forEach(DrainTest::assertComplete);
     }
 }
--- a/app/src/test/java/org/jasminehub/app/process/DemoDocument.java
+++ b/app/src/test/java/org/jasminehub/app/process/DemoDocument.java
@@ -2,7 +2,7 @@
 
 import org.jasminehub.standin.LogStandin;
 
-/** The demo's document, for tests that need some document in force. */
+/** Publishes the demo document, for tests that need any document in force. */
 public final class DemoDocument {
     private DemoDocument() {}
 
--- a/app/src/test/java/org/jasminehub/app/process/SeparateProcessesTest.java
+++ b/app/src/test/java/org/jasminehub/app/process/SeparateProcessesTest.java
@@ -105,7 +105,7 @@
         }
 
         @Test
-        void testValueOutOfRangeIsNamedWithWhatWasExpected() throws IOException {
+        void testValueOutOfRangeIsReportedWithExpectedRange() throws IOException {
             String good = Settings.agent("text-1", MODEL, new Address("127.0.0.1", 1));
             Path file = write("agent.yaml", good.replace("loadIntervalMillis: 100", "loadIntervalMillis: 5"));
             Path output = directory.resolve("output.txt");
@@ -115,7 +115,7 @@
         }
 
         @Test
-        void testMissingFileIsNamed() throws IOException {
+        void testMissingFileIsReported() throws IOException {
             Path output = directory.resolve("output.txt");
             assertEquals(2, SystemProcess.run(output, "entry", "--settings", "absent.yaml"));
             assertTrue(Files.readString(output).contains("absent.yaml"));
--- a/app/src/test/java/org/jasminehub/app/process/Settings.java
+++ b/app/src/test/java/org/jasminehub/app/process/Settings.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.membership.Target;
 import org.jasminehub.platform.http.Address;
 
-/** Texts of settings files for tests; all ports are free ones. */
+/** Texts of settings files for tests; every port is 0, which selects a free one. */
 public final class Settings {
     private Settings() {}
 
--- a/app/src/test/java/org/jasminehub/app/process/SystemProcess.java
+++ b/app/src/test/java/org/jasminehub/app/process/SystemProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A role of the system as a process of its own, started with a settings file. */
+/** An entry instance or agent that runs as a separate process with a settings file. */
 public final class SystemProcess implements AutoCloseable {
     private static final long EXIT_TIMEOUT_SECONDS = 30;
 
@@ -19,7 +19,7 @@
         this.startLine = startLine;
     }
 
-    /** Starts {@code role} and returns once it has printed that it started; its log goes to {@code logFile}. */
+    /** Starts {@code role} and waits for the line that reports its start; its log is written to {@code logFile}. */
     public static SystemProcess start(String role, Path settings, Path logFile) {
         try {
             Process process = builder(List.of(role, "--settings", settings.toString()))
@@ -29,7 +29,7 @@
             String line = output.readLine();
             if (line == null) {
                 throw new AssertionError(
-                        role + " ended with " + process.onExit().join().exitValue());
+                        role + " exited with code " + process.onExit().join().exitValue());
             }
             return new SystemProcess(process, line);
         } catch (IOException e) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Runs the command line to its end and returns its exit code. */
+    /** Runs the command line until it exits and returns its exit code. */
     public static int run(Path logFile, String... arguments) {
         try {
             Process process = builder(List.of(arguments))
@@ -50,28 +50,28 @@
         }
     }
 
-    /** Returns the port it listens on for its peers or callers. */
+    /** Returns the port on which the process listens for peers or callers. */
     public int port() {
         String address = startLine.split(" ")[1];
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
 
-    /** Returns the port of its metrics and health. */
+    /** Returns the port of the metrics and health checks. */
     public int operationsPort() {
         return Integer.parseInt(startLine.substring(startLine.lastIndexOf(' ') + 1));
     }
 
-    /** Returns the process, to be stopped, frozen or killed. */
+    /** Returns the handle of the process. */
     public ProcessHandle handle() {
         return process.toHandle();
     }
 
-    /** Asks it to end and returns its exit code. */
+    /** Terminates the process normally and returns its exit code. */
     public int stop() {
         process.destroy();
         try {
             if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError("the process did not end");
+                throw new AssertionError("the process did not exit within the time limit");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
@@ -79,7 +79,7 @@
         return process.exitValue();
     }
 
-    /** Kills it. */
+    /** Kills the process. */
     @Override
     public void close() {
         process.destroyForcibly().onExit().join();
--- a/app/src/test/java/org/jasminehub/app/session/WholePathTest.java
+++ b/app/src/test/java/org/jasminehub/app/session/EndToEndTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-final class WholePathTest {
+final class EndToEndTest {
     private static final String CHAT = "/v1/chat/completions";
     private static final String[] WORKSPACE = {"X-Workspace", "brand-managers"};
 
@@ -31,8 +31,8 @@
         runtime.close();
     }
 
-    private static Session session() {
-        return new Session(demo.entryAddresses().get(0));
+    private static SessionRecorder session() {
+        return new SessionRecorder(demo.entryAddresses().get(0));
     }
 
     private static String chat(String prompt, boolean stream, int tokens) {
@@ -42,21 +42,21 @@
 
     @Test
     void testStreamIsRelayedEventByEvent() {
-        Session session = session();
+        SessionRecorder session = session();
         session.post(CHAT, chat("draft a caption", true, 4), WORKSPACE);
         session.verify();
     }
 
     @Test
-    void testWholeAnswerArrivesInOnePiece() {
-        Session session = session();
+    void testBufferedResponseIsRelayedComplete() {
+        SessionRecorder session = session();
         session.post(CHAT, chat("summarize the brief", false, 12), WORKSPACE);
         session.verify();
     }
 
     @Test
     void testBadInputGetsTypedErrors() {
-        Session session = session();
+        SessionRecorder session = session();
         session.post(CHAT, "{", WORKSPACE);
         session.post(CHAT, "{\"messages\":[]}", WORKSPACE);
         session.post(CHAT, chat("x", true, 0), WORKSPACE);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void testLongStreamIsLargerThanTheCreditAndArrivesWhole() {
+    void testStreamLargerThanCreditIsRelayedComplete() {
         int tokens = 200;
         HttpResponse<String> response = session().post(CHAT, chat("long", true, tokens), WORKSPACE);
         long events = response.body()
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void testAnswerIsThatOfTheEngine() {
+    void testResponseIsThatOfTheEngine() {
         HttpResponse<String> response = session().post(CHAT, chat("tide", false, 6), WORKSPACE);
         assertTrue(response.body().contains(EngineStandin.textOf("tide", 6)));
     }
--- a/app/src/test/java/org/jasminehub/app/session/OverloadTest.java
+++ b/app/src/test/java/org/jasminehub/app/session/OverloadTest.java
@@ -22,8 +22,8 @@
 final class OverloadTest {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
-    private static final int FLOOD = 300;
-    private static final int FEW = 5;
+    private static final int FLOOD_REQUESTS = 300;
+    private static final int OTHER_REQUESTS = 5;
 
     private final HttpClient client = HttpClient.newHttpClient();
     private ProcessRuntime runtime;
@@ -66,28 +66,28 @@
     }
 
     @Test
-    void testFloodOfOneWorkspaceIsRefusedAsNotRunAndTheOtherIsServed() {
-        List<CompletableFuture<HttpResponse<String>>> flood = send("brand-managers", FLOOD);
-        List<CompletableFuture<HttpResponse<String>>> few = send("cooperative", FEW);
-        int answered = FEW;
-        for (CompletableFuture<HttpResponse<String>> one : few) {
-            assertEquals(200, one.join().statusCode());
+    void testFloodOfOneWorkspaceIsRejectedAndOtherWorkspaceIsServed() {
+        List<CompletableFuture<HttpResponse<String>>> flood = send("brand-managers", FLOOD_REQUESTS);
+        List<CompletableFuture<HttpResponse<String>>> others = send("cooperative", OTHER_REQUESTS);
+        int served = OTHER_REQUESTS;
+        for (CompletableFuture<HttpResponse<String>> pendingResponse : others) {
+            assertEquals(200, pendingResponse.join().statusCode());
         }
-        for (CompletableFuture<HttpResponse<String>> one : flood) {
-            HttpResponse<String> response = one.join();
-            answered += response.statusCode() == 200 ? 1 : 0;
+        for (CompletableFuture<HttpResponse<String>> pendingResponse : flood) {
+            HttpResponse<String> response = pendingResponse.join();
+            served += response.statusCode() == 200 ? 1 : 0;
             if (response.statusCode() != 200) {
                 assertEquals(TOO_MANY_REQUESTS, response.statusCode());
                 assertTrue(response.headers().firstValueAsLong("Retry-After").orElse(0) >= 1);
                 assertTrue(response.body().contains("not-run"));
             }
         }
-        assertTrue(answered < FLOOD, "answered " + answered);
-        assertEquals(answered, startedRequests());
+        assertTrue(served < FLOOD_REQUESTS, "served " + served);
+        assertEquals(served, startedRequests());
     }
 
     @Test
-    void testWorkThatCannotMeetItsDeadlineIsRefusedAtOnceByTheAgent() {
+    void testRequestThatCannotMeetItsDeadlineIsRejectedByTheAgent() {
         // Half of 8000 tokens, at 20 ms each, take longer than the route's deadline of 60 s.
         HttpResponse<String> response = send("brand-managers", 0, 8000).join();
         assertEquals(UNAVAILABLE, response.statusCode());
--- a/app/src/test/java/org/jasminehub/app/session/Session.java
+++ b/app/src/test/java/org/jasminehub/app/session/SessionRecorder.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 import org.approvaltests.Approvals;
 
-/** Records the requests and answers of one caller as the text of a golden file. */
-public final class Session {
+/** Sends requests and records them with their responses as text, to be compared with an approved file. */
+public final class SessionRecorder {
     private static final Pattern UUID = Pattern.compile("[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}");
     private static final Pattern PORT = Pattern.compile("127\\.0\\.0\\.1:\\d+");
 
@@ -18,22 +18,22 @@
     private final StringBuilder text = new StringBuilder();
     private final String address;
 
-    /** Creates a session with the entry instance at {@code address}, {@code HOST:PORT}. */
-    public Session(String address) {
+    /** Creates a recorder of requests to the entry instance at {@code address}, of the form {@code HOST:PORT}. */
+    public SessionRecorder(String address) {
         this.address = address;
     }
 
-    /** Writes a heading. */
-    public void say(String line) {
+    /** Adds a heading to the record. */
+    public void addHeading(String line) {
         text.append("# ").append(line).append('\n');
     }
 
-    /** Gets {@code path} and records the exchange; {@code headers} are names and values in turn. */
+    /** Gets {@code path} and records the exchange; {@code headers} alternates names and values. */
     public HttpResponse<String> get(String path, String... headers) {
         return send("GET " + path, request(path, headers).GET().build(), "");
     }
 
-    /** Posts {@code body} to {@code path} and records the exchange; {@code headers} are names and values in turn. */
+    /** Posts {@code body} to {@code path} and records the exchange; {@code headers} alternates names and values. */
     public HttpResponse<String> post(String path, String body, String... headers) {
         HttpRequest request = request(path, headers)
                 .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -41,7 +41,7 @@
         return send("POST " + path, request, body);
     }
 
-    /** Compares everything recorded with the golden file. */
+    /** Compares the record with the approved file; request ids and addresses are replaced by placeholders. */
     public void verify() {
         String scrubbed = UUID.matcher(text).replaceAll("REQUEST-ID");
         Approvals.verify(PORT.matcher(scrubbed).replaceAll("ADDRESS"));
@@ -58,7 +58,7 @@
             record(line, request, body, response);
             return response;
         } catch (IOException e) {
-            throw new AssertionError(line + " got no whole answer", e);
+            throw new AssertionError(line + " received no complete response", e);
         } catch (InterruptedException e) {
             throw new AssertionError(line + " was interrupted", e);
         }
--- a/app/src/test/java/org/jasminehub/app/session/StreamFailureTest.java
+++ b/app/src/test/java/org/jasminehub/app/session/StreamFailureTest.java
@@ -73,17 +73,17 @@
     private static void awaitTrue(java.util.function.BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             if (Thread.currentThread().isInterrupted()) {
-                throw new AssertionError("the test's time is up");
+                throw new AssertionError("interrupted while waiting for a condition");
             }
             LockSupport.parkNanos(POLL_NANOS);
         }
     }
 
     @Test
-    void testStreamGoesOnElsewhereWhenItsEngineBreaksOff() throws Exception {
-        EngineStandin broken = demo.engines().get(0);
-        broken.cutAfterTokens(7);
-        while (broken.startedRequests() == 0) {
+    void testStreamResumesOnAnotherEngineAfterEngineFailure() throws Exception {
+        EngineStandin failingEngine = demo.engines().get(0);
+        failingEngine.failAfterTokens(7);
+        while (failingEngine.startedRequests() == 0) {
             HttpResponse<String> response = send(true);
             assertEquals(EngineStandin.textOf("tell", TOKENS), textOf(response.body()));
             assertTrue(response.body().endsWith("data: [DONE]\n\n"));
@@ -91,17 +91,17 @@
     }
 
     @Test
-    void testWholeAnswerIsTriedElsewhereWhenItsEngineBreaksOff() throws Exception {
-        EngineStandin broken = demo.engines().get(0);
-        broken.cutAfterTokens(7);
-        while (broken.startedRequests() == 0) {
+    void testBufferedCallIsRetriedOnAnotherEngineAfterEngineFailure() throws Exception {
+        EngineStandin failingEngine = demo.engines().get(0);
+        failingEngine.failAfterTokens(7);
+        while (failingEngine.startedRequests() == 0) {
             HttpResponse<String> response = send(false);
             assertTrue(response.body().contains(EngineStandin.textOf("tell", TOKENS)));
         }
     }
 
     @Test
-    void testStreamGoesOnElsewhereWhenItsAgentDies() throws Exception {
+    void testStreamResumesThroughAnotherAgentAfterAgentFailure() throws Exception {
         demo.engines().forEach(engine -> engine.setStepMillis(50));
         HttpResponse<InputStream> response = client.send(chat(true), HttpResponse.BodyHandlers.ofInputStream());
         InputStream body = response.body();
@@ -120,24 +120,24 @@
     }
 
     @Test
-    void testStreamThatNobodyCanFinishIsNotTakenForWhole() throws Exception {
-        demo.engines().forEach(engine -> engine.cutAfterTokens(7));
+    void testStreamThatNoEngineCanFinishIsAborted() throws Exception {
+        demo.engines().forEach(engine -> engine.failAfterTokens(7));
         HttpResponse<InputStream> response = client.send(chat(true), HttpResponse.BodyHandlers.ofInputStream());
         StringBuilder text = new StringBuilder();
-        boolean broke = false;
+        boolean isAborted = false;
         try (InputStream body = response.body()) {
             for (int next = body.read(); next >= 0; next = body.read()) {
                 text.append((char) next);
             }
         } catch (IOException e) {
-            broke = true;
+            isAborted = true;
         }
-        assertTrue(broke);
+        assertTrue(isAborted);
         assertFalse(text.toString().contains("[DONE]"));
     }
 
     @Test
-    void testCallerThatGoesAwayCancelsTheEnginesWork() throws Exception {
+    void testCallerDisconnectCancelsTheEngineRequest() throws Exception {
         demo.engines().forEach(engine -> engine.setStepMillis(50));
         HttpResponse<InputStream> response = client.send(chat(true), HttpResponse.BodyHandlers.ofInputStream());
         response.body().read();
--- a/ctl/src/main/java/org/jasminehub/ctl/AuditCommand.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/AuditCommand.java
@@ -14,14 +14,14 @@
 import org.jasminehub.core.history.ChainHead;
 import org.jasminehub.core.history.HistoryEvent;
 
-/** Exports the accepted history for auditors and verifies such exports. */
+/** Exports the history of accepted documents to a file for auditors, and verifies such files. */
 final class AuditCommand {
-    private static final int ARGUMENTS = 2;
+    private static final int ARGUMENT_COUNT = 2;
 
     private final Connections connections;
     private final Pause pause;
     private final PrintStream out;
-    private final AuditTrailFile format = new AuditTrailFile();
+    private final AuditTrailFile trailFile = new AuditTrailFile();
 
     AuditCommand(Connections connections, Pause pause, PrintStream out) {
         this.connections = connections;
@@ -30,13 +30,13 @@
     }
 
     void run(CommandOptions.Audit options) {
-        if (options.arguments.size() != ARGUMENTS) {
+        if (options.arguments.size() != ARGUMENT_COUNT) {
             throw new CtlException(ErrorCode.ARGUMENT_INVALID, "give export FILE or verify FILE");
         }
         String file = options.arguments.get(1);
         switch (options.arguments.get(0)) {
             case "export" -> export(options.log, file);
-            case "verify" -> verify(file, headOf(options.head));
+            case "verify" -> verify(file, parseHead(options.head));
             default -> throw new CtlException(ErrorCode.ARGUMENT_INVALID, "give export FILE or verify FILE");
         }
     }
@@ -45,16 +45,17 @@
         if (address.isEmpty()) {
             throw new CtlException(ErrorCode.ARGUMENT_INVALID, "export needs --log HOST:PORT");
         }
-        LogFollower follower = new LogFollower(connections.openLog(address), pause);
-        List<AuditEntry> entries = entriesIn(follower.readToEnd());
-        ChainHead head = follower.replay().state().head();
+        HistoryReader reader = new HistoryReader(connections.openLog(address), pause);
+        List<AuditEntry> entries = entriesIn(reader.readToEnd());
+        ChainHead head = reader.replay().state().head();
         AuditTrail trail = new AuditTrail(anchorOf(entries, head), entries, head);
-        writeFile(file, format.write(trail));
-        out.println("exported " + entries.size() + " entries after " + show(trail.anchor()) + ", head " + show(head));
+        writeFile(file, trailFile.write(trail));
+        out.println(
+                "exported " + entries.size() + " entries after " + format(trail.anchor()) + ", head " + format(head));
     }
 
     private void verify(String file, Optional<ChainHead> trusted) {
-        AuditTrail trail = format.read(DocumentFile.readText(file));
+        AuditTrail trail = trailFile.read(DocumentFile.readText(file));
         List<AuditFault> faults = new AuditVerifier().verify(trail, trusted);
         for (AuditFault fault : faults) {
             out.println("entry " + fault.sequence() + " " + fault.kind() + ": " + fault.detail());
@@ -62,7 +63,7 @@
         if (!faults.isEmpty()) {
             throw new CtlException(ErrorCode.AUDIT_MISMATCH, faults.size() + " faults in " + file);
         }
-        out.println(trail.entries().size() + " entries match, head " + show(trail.head()));
+        out.println(trail.entries().size() + " entries match, head " + format(trail.head()));
     }
 
     private static List<AuditEntry> entriesIn(List<HistoryEvent> events) {
@@ -80,7 +81,7 @@
         return new ChainHead(first.sequence() - 1, first.previousHash());
     }
 
-    private static Optional<ChainHead> headOf(String text) {
+    private static Optional<ChainHead> parseHead(String text) {
         if (text.isEmpty()) {
             return Optional.empty();
         }
@@ -92,7 +93,7 @@
         return Optional.of(new ChainHead(count, text.substring(colon + 1)));
     }
 
-    private static String show(ChainHead head) {
+    private static String format(ChainHead head) {
         return head.count() + ":" + head.hash();
     }
 
--- a/ctl/src/main/java/org/jasminehub/ctl/AuditTrailFile.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/AuditTrailFile.java
@@ -13,11 +13,11 @@
 import org.jasminehub.core.history.ChainHead;
 
 /**
- * The file form of an audit trail, one JSON object a line: the head before the first entry, the entries, and the head
- * after the last.
+ * The file format of an audit trail, with one JSON object per line: the chain head before the first entry, the entries,
+ * and the chain head after the last entry.
  */
 final class AuditTrailFile {
-    private static final int HEAD_LINES = 2;
+    private static final int MIN_LINES = 2;
 
     private final ObjectMapper mapper = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
@@ -39,8 +39,8 @@
 
     AuditTrail read(String text) {
         List<String> lines = text.lines().toList();
-        if (lines.size() < HEAD_LINES) {
-            throw new CtlException(ErrorCode.ARGUMENT_INVALID, "an audit file has at least two lines");
+        if (lines.size() < MIN_LINES) {
+            throw new CtlException(ErrorCode.ARGUMENT_INVALID, "audit file truncated: expected at least two lines");
         }
         int last = lines.size() - 1;
         List<AuditEntry> entries = new ArrayList<>();
@@ -55,7 +55,7 @@
         try {
             return mapper.writeValueAsString(line);
         } catch (JsonProcessingException e) {
-            throw new CtlException(ErrorCode.INTERNAL, "cannot write an audit entry", e);
+            throw new CtlException(ErrorCode.INTERNAL, "cannot serialize an audit entry", e);
         }
     }
 
@@ -63,7 +63,8 @@
         try {
             return mapper.readValue(line, type);
         } catch (JsonProcessingException | InvalidArgumentException e) {
-            throw new CtlException(ErrorCode.AUDIT_MISMATCH, "line " + number + " is no audit line", e);
+            throw new CtlException(
+                    ErrorCode.AUDIT_MISMATCH, "line " + number + " is not a valid line of an audit file", e);
         }
     }
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/CommandOptions.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/CommandOptions.java
@@ -7,11 +7,11 @@
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.history.HistoryState;
 
-/** The options of each command, filled in by the command line parser. */
+/** The options of each command; the command line parser sets the fields. */
 final class CommandOptions {
     private CommandOptions() {}
 
-    /** Options before any command. */
+    /** Options that are given without a command. */
     static final class Program {
         @Parameter(
                 names = {"--help", "-h"},
@@ -36,16 +36,19 @@
         @Parameter(names = "--log", required = true, description = "HOST:PORT of the platform's log")
         String log = "";
 
-        @Parameter(names = "--base", required = true, description = "The version it was made from, or none")
+        @Parameter(
+                names = "--base",
+                required = true,
+                description = "The version that the document is based on, or none")
         String base = "";
 
-        @Parameter(names = "--operator", required = true, description = "Who publishes")
+        @Parameter(names = "--operator", required = true, description = "Name of the operator who publishes")
         String operator = "";
 
         @Parameter(names = "--reason", required = true, description = "Why")
         String reason = "";
 
-        @Parameter(names = "--nonce", description = "The nonce of an earlier try whose effect is not known yet")
+        @Parameter(names = "--nonce", description = "Nonce of an earlier attempt whose outcome is not known yet")
         String nonce = "";
 
         @Parameter(names = "--timeout-seconds", description = "How long to wait for the outcome")
@@ -60,7 +63,7 @@
     }
 
     /** Options of {@code history}. */
-    @Parameters(commandDescription = "Show what became of each publish that the log still holds")
+    @Parameters(commandDescription = "Show the outcome of each publish that is still in the log")
     static final class History {
         @Parameter(names = "--log", required = true, description = "HOST:PORT of the platform's log")
         String log = "";
@@ -75,7 +78,9 @@
         @Parameter(names = "--log", description = "HOST:PORT of the platform's log; needed by export")
         String log = "";
 
-        @Parameter(names = "--head", description = "COUNT:HASH that verify must find, from another source")
+        @Parameter(
+                names = "--head",
+                description = "Trusted COUNT:HASH, from another source, that verify compares with the file")
         String head = "";
 
         @Parameter(description = "export|verify FILE", required = true)
@@ -98,7 +103,7 @@
         @Parameter(names = "--team", required = true, description = "The team")
         String team = "";
 
-        @Parameter(names = "--at-least", required = true, description = "The version")
+        @Parameter(names = "--at-least", required = true, description = "Lowest version to wait for")
         String version = "";
 
         @Parameter(names = "--timeout-seconds", description = "How long to wait")
@@ -106,9 +111,9 @@
     }
 
     /** Options of {@code explain}. */
-    @Parameters(commandDescription = "Tell the story of one request from collected logs")
+    @Parameters(commandDescription = "Show the events of one request from collected logs")
     static final class Explain {
-        @Parameter(names = "--request", required = true, description = "The request's id")
+        @Parameter(names = "--request", required = true, description = "ID of the request")
         String request = "";
 
         @Parameter(description = "FILE...", required = true)
--- a/ctl/src/main/java/org/jasminehub/ctl/Connections.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/Connections.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.CompletionStage;
 import org.jasminehub.platform.log.LogService;
 
-/** Opens connections to what the commands talk to. */
+/** Opens connections to the platform's log and to entry instances. */
 interface Connections {
-    /** Returns the log at {@code address}, a host and a port. */
+    /** Returns a client of the log at {@code address}, of the form {@code HOST:PORT}. */
     LogService openLog(String address);
 
-    /** Returns what the entry instance at {@code address}, a host and a port, says of itself. */
+    /** Fetches the status of the entry instance at {@code address}, of the form {@code HOST:PORT}. */
     CompletionStage<StatusJson> fetchStatus(String address);
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/CtlException.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/CtlException.java
@@ -4,7 +4,7 @@
 import org.jasminehub.core.error.JasminehubException;
 import org.jspecify.annotations.Nullable;
 
-/** A command of the operator cannot be carried out. */
+/** Thrown when a command of the operators' tool fails. */
 final class CtlException extends JasminehubException {
     private static final long serialVersionUID = 1L;
 
--- a/ctl/src/main/java/org/jasminehub/ctl/CtlProgram.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/CtlProgram.java
@@ -34,7 +34,7 @@
         this.err = err;
     }
 
-    /** Runs the command in {@code arguments}; failures go to the error stream. */
+    /** Runs the command in {@code arguments} and returns its exit code; failures are printed to the error stream. */
     ExitCode run(String... arguments) {
         try {
             return parseAndRun(arguments);
@@ -73,7 +73,7 @@
         return version == null ? "development" : version;
     }
 
-    /** The commands, each with its options. */
+    /** The commands and their options. */
     private final class Commands {
         private final CommandOptions.Check check = new CommandOptions.Check();
         private final CommandOptions.Publish publish = new CommandOptions.Publish();
--- a/ctl/src/main/java/org/jasminehub/ctl/DocumentFile.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/DocumentFile.java
@@ -9,16 +9,20 @@
 import org.jasminehub.core.error.ErrorCode;
 
 /**
- * A document that was read from a file and passed the schema.
+ * A document that was read from a file and is valid against the schema.
  *
  * @param text the file's text
- * @param document what it describes
+ * @param document the parsed document
  */
 record DocumentFile(String text, TeamDocument document) {
-    /** Returns the document in the only one of {@code files}. */
+    /**
+     * Reads the document from the single file in {@code files}.
+     *
+     * @throws CtlException if {@code files} does not hold exactly one name or the file cannot be read
+     */
     static DocumentFile read(List<String> files) {
         if (files.size() != 1) {
-            throw new CtlException(ErrorCode.ARGUMENT_INVALID, "give exactly one FILE, found " + files.size());
+            throw new CtlException(ErrorCode.ARGUMENT_INVALID, "expected exactly one FILE, found " + files.size());
         }
         String text = readText(files.get(0));
         return new DocumentFile(text, new DocumentYamlAdapter().read(text));
--- a/ctl/src/main/java/org/jasminehub/ctl/ExitCode.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/ExitCode.java
@@ -2,13 +2,13 @@
 
 import org.jasminehub.core.error.ErrorCode;
 
-/** What the process returns to its shell. */
+/** Exit codes of the process. */
 enum ExitCode {
-    /** It did what was asked. */
+    /** The command succeeded. */
     OK(0),
-    /** It could not, for a reason outside the command line. */
+    /** The command failed for a reason other than its input. */
     FAILED(1),
-    /** The command line or a file that it names is wrong. */
+    /** The command line, or a file that it names, is invalid. */
     BAD_INPUT(2);
 
     private final int status;
--- a/ctl/src/main/java/org/jasminehub/ctl/ExplainCommand.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/ExplainCommand.java
@@ -9,14 +9,14 @@
 import java.util.stream.StreamSupport;
 import org.jasminehub.core.error.ErrorCode;
 
-/** Tells the story of one request, or counts what became of all, from collected logs. */
+/** Shows the events of one request, or counts the outcomes of all calls, from collected logs. */
 final class ExplainCommand {
-    /** How far back the state of the instance that took a request is told. */
+    /** State changes are shown from this time before the first event of the request. */
     private static final long CONTEXT_MILLIS = 5_000;
 
     private static final long MILLIS_PER_MINUTE = 60_000;
 
-    private static final List<String> CONTEXT_NAMES = List.of(
+    private static final List<String> CONTEXT_EVENTS = List.of(
             "STORE_LOST",
             "STORE_REGAINED",
             "READINESS_CHANGED",
@@ -25,7 +25,7 @@
             "PROCESS_STARTED",
             "PROCESS_STOPPING");
 
-    private static final List<String> HEAD_FIELDS = List.of("event", "name", "instance", "time", "requestId");
+    private static final List<String> OMITTED_FIELDS = List.of("event", "name", "instance", "time", "requestId");
 
     private final PrintStream out;
 
@@ -33,25 +33,26 @@
         this.out = out;
     }
 
-    /** Prints what the instances decided on the request, and what changed at them shortly before. */
+    /** Prints the events of a request, and the state changes of the instances that handled it, in order of time. */
     void explain(CommandOptions.Explain options) {
         List<LogLine> lines = LogFiles.read(options.files);
-        List<LogLine> story = lines.stream()
+        List<LogLine> requestLines = lines.stream()
                 .filter(line -> line.text("requestId").equals(options.request))
                 .toList();
-        if (story.isEmpty()) {
+        if (requestLines.isEmpty()) {
             throw new CtlException(
                     ErrorCode.ARGUMENT_INVALID, "no line of these logs names request " + options.request);
         }
-        long firstMillis = story.get(0).timeMillis();
+        long firstMillis = requestLines.get(0).timeMillis();
         List<String> instances =
-                story.stream().map(LogLine::instance).distinct().toList();
+                requestLines.stream().map(LogLine::instance).distinct().toList();
         for (LogLine line : lines) {
-            boolean isContext = CONTEXT_NAMES.contains(line.name())
+            boolean isContext = CONTEXT_EVENTS.contains(line.name())
                     && instances.contains(line.instance())
-                    && line.timeMillis() <= story.get(story.size() - 1).timeMillis()
+                    && line.timeMillis()
+                            <= requestLines.get(requestLines.size() - 1).timeMillis()
                     && line.timeMillis() >= firstMillis - CONTEXT_MILLIS;
-            if (isContext || story.contains(line)) {
+            if (isContext || requestLines.contains(line)) {
                 print(line, firstMillis);
             }
         }
@@ -63,7 +64,7 @@
                                         () -> line.fields().fields())
                                 .spliterator(),
                         false)
-                .filter(field -> !HEAD_FIELDS.contains(field.getKey()))
+                .filter(field -> !OMITTED_FIELDS.contains(field.getKey()))
                 .map(field -> field.getKey() + "=" + field.getValue().asText())
                 .collect(Collectors.joining(" "));
         out.printf("%+7d ms  %-16s %-24s %s%n", line.timeMillis() - firstMillis, line.instance(), line.name(), fields);
@@ -91,7 +92,7 @@
         byMinute.forEach(this::printCount);
     }
 
-    private void printCount(String what, int count) {
-        out.printf("%7d  %s%n", count, what);
+    private void printCount(String label, int count) {
+        out.printf("%7d  %s%n", count, label);
     }
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/FleetStatus.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/FleetStatus.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * What the entry instances of the fleet say of themselves.
+ * The status that each entry instance of the fleet reported.
  *
- * @param answers each instance's answer by name, nothing where it gave none
+ * @param statuses the status of each instance by name, empty if the instance did not respond
  */
-record FleetStatus(ImmutableSortedMap<String, Optional<StatusJson>> answers) {
-    /** The value of {@link #versionOn} where an instance has no document of the team. */
+record FleetStatus(ImmutableSortedMap<String, Optional<StatusJson>> statuses) {
+    /** Returned by {@link #versionOn} if an instance has no document of the team. */
     static final long NO_VERSION = -1;
 
-    /** Returns the version of {@code team} that {@code status} has in force. */
+    /** Returns the version of {@code team} that is in force according to {@code status}. */
     static long versionOn(StatusJson status, String team) {
         return status.documents().stream()
                 .filter(document -> document.team().equals(team))
@@ -25,28 +25,28 @@
 
     /** Returns how many instances have {@code version} of {@code team} or a newer one in force. */
     int countInForce(String team, long version) {
-        return (int) answers.values().stream()
+        return (int) statuses.values().stream()
                 .flatMap(Optional::stream)
                 .filter(status -> versionOn(status, team) >= version)
                 .count();
     }
 
-    /** Tells whether every instance answers and has {@code version} of {@code team} or a newer one in force. */
+    /** Returns whether every instance responded and has {@code version} of {@code team} or a newer one in force. */
     boolean isInForceEverywhere(String team, long version) {
-        return !answers.isEmpty() && countInForce(team, version) == answers.size();
+        return !statuses.isEmpty() && countInForce(team, version) == statuses.size();
     }
 
-    /** Returns one line: how many instances have the version in force, and each that does not. */
+    /** Returns a line with the number of instances that have the version in force and the list of those that do not. */
     String progress(String team, long version) {
         List<String> lagging = new ArrayList<>();
-        answers.forEach((instance, answer) -> {
-            if (answer.isEmpty()) {
+        statuses.forEach((instance, status) -> {
+            if (status.isEmpty()) {
                 lagging.add(instance + " (no answer)");
-            } else if (versionOn(answer.get(), team) < version) {
-                lagging.add(instance + " (" + describe(answer.get(), team) + ")");
+            } else if (versionOn(status.get(), team) < version) {
+                lagging.add(instance + " (" + describe(status.get(), team) + ")");
             }
         });
-        String line = "in force on " + countInForce(team, version) + " of " + answers.size();
+        String line = "in force on " + countInForce(team, version) + " of " + statuses.size();
         return lagging.isEmpty() ? line : line + ", lagging: " + String.join(", ", lagging);
     }
 
--- a/ctl/src/main/java/org/jasminehub/ctl/FleetStatusReader.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/FleetStatusReader.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletionStage;
 import org.jasminehub.platform.PlatformException;
 
-/** Asks every entry instance that one of them knows. */
+/** Reads the status of all entry instances, starting from the address of one of them. */
 final class FleetStatusReader {
     private final Connections connections;
 
@@ -16,23 +16,27 @@
         this.connections = connections;
     }
 
-    /** Returns the answers of the instance at {@code address} and of all entry instances in its list. */
+    /**
+     * Returns the status of the instance at {@code address} and of all entry instances that it lists as members.
+     *
+     * @throws PlatformException if the instance at {@code address} does not respond
+     */
     FleetStatus read(String address) {
-        StatusJson first = LogFollower.await(connections.fetchStatus(address));
-        Map<String, CompletionStage<StatusJson>> asked = new LinkedHashMap<>();
+        StatusJson first = HistoryReader.await(connections.fetchStatus(address));
+        Map<String, CompletionStage<StatusJson>> pendingStatuses = new LinkedHashMap<>();
         first.members().stream()
                 .filter(StatusJson.MemberJson::isEntry)
                 .filter(member -> !member.id().equals(first.instance()))
-                .forEach(member -> asked.put(member.id(), connections.fetchStatus(member.address())));
-        TreeMap<String, Optional<StatusJson>> answers = new TreeMap<>();
-        answers.put(first.instance(), Optional.of(first));
-        asked.forEach((instance, answer) -> answers.put(instance, awaitAnswer(answer)));
-        return new FleetStatus(ImmutableSortedMap.copyOfSorted(answers));
+                .forEach(member -> pendingStatuses.put(member.id(), connections.fetchStatus(member.address())));
+        TreeMap<String, Optional<StatusJson>> statuses = new TreeMap<>();
+        statuses.put(first.instance(), Optional.of(first));
+        pendingStatuses.forEach((instance, pendingStatus) -> statuses.put(instance, awaitStatus(pendingStatus)));
+        return new FleetStatus(ImmutableSortedMap.copyOfSorted(statuses));
     }
 
-    private static Optional<StatusJson> awaitAnswer(CompletionStage<StatusJson> answer) {
+    private static Optional<StatusJson> awaitStatus(CompletionStage<StatusJson> pendingStatus) {
         try {
-            return Optional.of(LogFollower.await(answer));
+            return Optional.of(HistoryReader.await(pendingStatus));
         } catch (PlatformException e) {
             return Optional.empty();
         }
--- a/ctl/src/main/java/org/jasminehub/ctl/HistoryCommand.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/HistoryCommand.java
@@ -5,7 +5,7 @@
 import org.jasminehub.core.history.HistoryEvent;
 import org.jasminehub.core.history.HistoryState;
 
-/** Shows what became of each publish that the log still holds. */
+/** Shows the outcome of each publish that is still in the log. */
 final class HistoryCommand {
     private final Connections connections;
     private final Pause pause;
@@ -18,12 +18,12 @@
     }
 
     void run(CommandOptions.History options) {
-        LogFollower follower = new LogFollower(connections.openLog(options.log), pause);
-        for (HistoryEvent event : follower.readToEnd()) {
+        HistoryReader reader = new HistoryReader(connections.openLog(options.log), pause);
+        for (HistoryEvent event : reader.readToEnd()) {
             show(event, options.team);
         }
-        for (AcceptedDocument document : follower.replay().state().sources()) {
-            if (isWanted(document.team(), options.team)) {
+        for (AcceptedDocument document : reader.replay().state().sources()) {
+            if (isSelected(document.team(), options.team)) {
                 out.println("in force: team " + document.team() + " version " + document.version() + " by "
                         + document.operator());
             }
@@ -32,16 +32,16 @@
 
     private void show(HistoryEvent event, String team) {
         if (event instanceof HistoryEvent.DocumentAccepted accepted
-                && isWanted(accepted.entry().team(), team)) {
+                && isSelected(accepted.entry().team(), team)) {
             out.println(accepted.entry().version() + " accepted: team "
                     + accepted.entry().team() + " base "
-                    + baseOf(accepted.entry().baseVersion()) + " by "
+                    + formatVersion(accepted.entry().baseVersion()) + " by "
                     + accepted.entry().operator() + ": " + accepted.entry().reason());
-        } else if (event instanceof HistoryEvent.PublishConflicted conflict && isWanted(conflict.team(), team)) {
+        } else if (event instanceof HistoryEvent.PublishConflicted conflict && isSelected(conflict.team(), team)) {
             out.println(conflict.offset() + " conflict: team " + conflict.team() + " base "
-                    + baseOf(conflict.baseVersion()) + " by " + conflict.operator() + ", in force was version "
-                    + baseOf(conflict.versionInForce()) + " by " + conflict.winner());
-        } else if (event instanceof HistoryEvent.PublishRejected rejected && isWanted(rejected.team(), team)) {
+                    + formatVersion(conflict.baseVersion()) + " by " + conflict.operator() + ", in force was version "
+                    + formatVersion(conflict.versionInForce()) + " by " + conflict.winner());
+        } else if (event instanceof HistoryEvent.PublishRejected rejected && isSelected(rejected.team(), team)) {
             out.println(rejected.offset() + " rejected: team " + rejected.team() + " by " + rejected.operator() + ": "
                     + rejected.cause());
         } else if (event instanceof HistoryEvent.RecordUnreadable unreadable && team.isEmpty()) {
@@ -49,11 +49,11 @@
         }
     }
 
-    private static boolean isWanted(String team, String wanted) {
-        return wanted.isEmpty() || wanted.equals(team);
+    private static boolean isSelected(String team, String selected) {
+        return selected.isEmpty() || selected.equals(team);
     }
 
-    private static String baseOf(long version) {
+    private static String formatVersion(long version) {
         return version == HistoryState.NO_VERSION ? "none" : Long.toString(version);
     }
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/LogFollower.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/HistoryReader.java
@@ -13,8 +13,8 @@
 import org.jasminehub.platform.log.LogPage;
 import org.jasminehub.platform.log.LogService;
 
-/** Reads the log to its end. Not thread-safe. */
-final class LogFollower {
+/** Reads the platform's log to its end and replays the history in it. Not thread-safe. */
+final class HistoryReader {
     static final int MAX_RECORDS = 256;
 
     private static final int MAX_FAILURES = 20;
@@ -25,7 +25,7 @@
     private final HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
     private final List<HistoryEvent> events = new ArrayList<>();
 
-    LogFollower(LogService log, Pause pause) {
+    HistoryReader(LogService log, Pause pause) {
         this.log = log;
         this.pause = pause;
     }
@@ -34,7 +34,12 @@
         return replay;
     }
 
-    /** Returns all that was decided on the way to the log's end. */
+    /**
+     * Reads to the end of the log and returns the events of the history.
+     *
+     * @throws CtlException if the log has dropped records that no snapshot covers
+     * @throws PlatformException if the log does not respond
+     */
     List<HistoryEvent> readToEnd() {
         long endOffset = readPage();
         while (replay.nextOffset() < endOffset) {
@@ -58,7 +63,7 @@
                 .toList();
     }
 
-    /** Returns the stage's value, or fails as the stage did. */
+    /** Waits for {@code stage} and returns its value; throws its {@link PlatformException} if it failed with one. */
     static <T> T await(CompletionStage<T> stage) {
         try {
             return stage.toCompletableFuture().join();
--- a/ctl/src/main/java/org/jasminehub/ctl/HttpConnections.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/HttpConnections.java
@@ -9,7 +9,7 @@
 import org.jasminehub.platform.log.HttpLogService;
 import org.jasminehub.platform.log.LogService;
 
-/** Connections over HTTP. Safe for use by several threads. */
+/** Connections over HTTP. Thread-safe. */
 final class HttpConnections implements Connections {
     private static final int TIMEOUT_MILLIS = 3_000;
 
@@ -35,7 +35,7 @@
             return new Address(address.getHost(), address.getPort());
         } catch (IllegalArgumentException | IllegalStateException e) {
             throw new CtlException(
-                    ErrorCode.ARGUMENT_INVALID, "\"" + text + "\" is no address of the form HOST:PORT", e);
+                    ErrorCode.ARGUMENT_INVALID, "\"" + text + "\" is not an address of the form HOST:PORT", e);
         }
     }
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/LogLine.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/LogLine.java
@@ -5,11 +5,12 @@
 /**
  * One line of a collected log.
  *
- * @param timeMillis when it happened, 0 where the line does not say
- * @param order its place in the files as given, which decides between equal times
- * @param fields the line's fields
+ * @param timeMillis the time of the event in milliseconds since 1970, 0 if the line has none
+ * @param position the position of the line in the files, in the order in which they were given; orders lines of equal
+ *     time
+ * @param fields the fields of the line
  */
-record LogLine(long timeMillis, int order, ObjectNode fields) {
+record LogLine(long timeMillis, int position, ObjectNode fields) {
     String text(String field) {
         return fields.path(field).asText("");
     }
--- a/ctl/src/main/java/org/jasminehub/ctl/Main.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/Main.java
@@ -6,7 +6,7 @@
 import org.apache.pekko.actor.ActorSystem;
 import org.jasminehub.runtime.time.SystemClock;
 
-/** Starts the operators' tool. */
+/** Entry point of {@code jasminehubctl}, the operators' command line tool. */
 public final class Main {
     private Main() {}
 
--- a/ctl/src/main/java/org/jasminehub/ctl/Pause.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/Pause.java
@@ -1,8 +1,8 @@
 package org.jasminehub.ctl;
 
-/** Waits before something is tried again. */
+/** Blocks the calling thread before a retry. */
 @FunctionalInterface
 interface Pause {
-    /** Returns after {@code millis}. */
+    /** Blocks for {@code millis} milliseconds. */
     void pauseMillis(long millis);
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/PublishCommand.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/PublishCommand.java
@@ -9,7 +9,7 @@
 import org.jasminehub.core.history.PublishRecord;
 import org.jasminehub.core.time.Clock;
 
-/** Publishes a document and says what became of it. */
+/** Publishes a document and reports the outcome. */
 final class PublishCommand {
     private final Connections connections;
     private final Clock clock;
@@ -33,8 +33,8 @@
         if (result instanceof PublishResult.NotAppended failed) {
             throw new CtlException(failed.code(), "nothing was published: " + failed.reason());
         }
-        if (result instanceof PublishResult.Settled settled) {
-            report(publish, settled.outcome());
+        if (result instanceof PublishResult.Observed observed) {
+            report(publish, observed.outcome());
         }
     }
 
@@ -58,20 +58,20 @@
             throw new CtlException(ErrorCode.DOCUMENT_CONFLICT, conflictMessage(publish, conflict));
         } else if (outcome instanceof PublishOutcome.Rejected rejected) {
             throw new CtlException(ErrorCode.DOCUMENT_INVALID, rejected.cause());
-        } else if (outcome instanceof PublishOutcome.Untraceable lost) {
+        } else if (outcome instanceof PublishOutcome.Untraceable untraceable) {
             throw new CtlException(
                     ErrorCode.HISTORY_TRUNCATED,
-                    "the log dropped the records among which this publish may stand; version " + lost.versionInForce()
+                    "the log has dropped records that may include this publish; version " + untraceable.versionInForce()
                             + " of team " + team + " is in force");
-        } else if (outcome instanceof PublishOutcome.NotYetKnown open) {
+        } else if (outcome instanceof PublishOutcome.NotYetKnown notYetKnown) {
             throw new CtlException(
                     ErrorCode.APPEND_UNSETTLED,
-                    "not yet known whether it was published, read up to offset " + open.nextOffset()
+                    "not yet known whether it was published, read up to offset " + notYetKnown.nextOffset()
                             + "; run the same command with --nonce " + publish.nonce());
         }
     }
 
-    private static String baseOf(PublishRecord publish) {
+    private static String formatBase(PublishRecord publish) {
         return publish.baseVersion() == HistoryState.NO_VERSION ? "none" : "" + publish.baseVersion();
     }
 
@@ -80,6 +80,6 @@
             return "team " + publish.team() + " has no document; publish with --base none";
         }
         return "team " + publish.team() + " has version " + conflict.versionInForce() + " by " + conflict.winner()
-                + " in force, not " + baseOf(publish);
+                + " in force, not " + formatBase(publish);
     }
 }
--- a/ctl/src/main/java/org/jasminehub/ctl/PublishRunner.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/PublishRunner.java
@@ -4,7 +4,7 @@
 import org.jasminehub.platform.PlatformException;
 import org.jasminehub.platform.log.LogService;
 
-/** Carries out what a {@link PublishSession} decides. */
+/** Performs the actions of a {@link PublishSession}. */
 final class PublishRunner {
     private static final long RETRY_PAUSE_MILLIS = 250;
 
@@ -18,7 +18,7 @@
         this.pause = pause;
     }
 
-    /** Runs {@code session} to its end. */
+    /** Runs {@code session} until it finishes and returns its result. */
     PublishResult run(PublishSession session) {
         while (true) {
             PublishAction action = session.next(clock.monotonicMillis());
@@ -33,13 +33,13 @@
         try {
             if (action instanceof PublishAction.Read read) {
                 session.onPage(
-                        LogFollower.await(log.read(read.fromOffset(), LogFollower.MAX_RECORDS, read.waitMillis())));
+                        HistoryReader.await(log.read(read.fromOffset(), HistoryReader.MAX_RECORDS, read.waitMillis())));
             } else if (action instanceof PublishAction.Append append) {
-                session.onAppended();
-                LogFollower.await(log.append(append.payload()));
+                session.onAppendStarted();
+                HistoryReader.await(log.append(append.payload()));
             }
         } catch (PlatformException e) {
-            // A failed append may have taken effect, and a failed read says nothing: both are settled by reading on.
+            // A failed append may have taken effect; the following reads show whether it did. A failed read is retried.
             pause.pauseMillis(RETRY_PAUSE_MILLIS);
         }
     }
--- a/ctl/src/main/java/org/jasminehub/ctl/PublishSession.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/PublishSession.java
@@ -9,11 +9,12 @@
 import org.jasminehub.platform.log.LogPage;
 
 /**
- * Decides step by step how to publish a record: read to the log's end, append only if the base is in force there, then
- * read on until the record's fate is known.
+ * Decides step by step how to publish a record: reads to the end of the log, appends the record only if its base
+ * version is in force there, and then reads on until the outcome is known or the deadline has passed.
  *
- * <p>The record is appended at most once in a session. A later session with the same nonce finds what an earlier one
- * appended, and appends again only while the base is in force, so that at most one of the two is accepted.
+ * <p>The record is appended at most once in a session. A later session with the same nonce finds a record that an
+ * earlier one appended. It appends the record again only while the base version is still in force, so that at most one
+ * of the two records is accepted.
  *
  * <p>Not thread-safe.
  */
@@ -23,30 +24,30 @@
     private final PublishRecord publish;
     private final long deadlineMillis;
     private final HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
-    private PublishOutcomeTracker settlement;
+    private PublishOutcomeTracker outcomeTracker;
     private boolean appended;
     private boolean reachedEnd;
 
-    /** Creates a session that gives up at {@code deadlineMillis} of the monotonic clock. */
+    /** Creates a session that stops waiting for the log at {@code deadlineMillis} of the monotonic clock. */
     PublishSession(PublishRecord publish, long deadlineMillis) {
         this.publish = publish;
         this.deadlineMillis = deadlineMillis;
-        this.settlement = new PublishOutcomeTracker(publish);
+        this.outcomeTracker = new PublishOutcomeTracker(publish);
     }
 
-    /** Returns what to do at {@code nowMillis}. */
+    /** Returns the next action at {@code nowMillis}. */
     PublishAction next(long nowMillis) {
         return appended ? nextAfterAppend(nowMillis) : nextBeforeAppend(nowMillis);
     }
 
-    /** Takes the answer to a read. */
+    /** Called with the page that a read returned. */
     void onPage(LogPage page) {
-        settlement.observe(replay.applyLogPage(page.firstOffset(), LogFollower.recordsOf(page)));
+        outcomeTracker.observe(replay.applyLogPage(page.firstOffset(), HistoryReader.recordsOf(page)));
         reachedEnd = replay.nextOffset() >= page.nextOffset();
     }
 
-    /** Notes that the append was sent, whatever came back. */
-    void onAppended() {
+    /** Called before the append is sent; from then on it may have taken effect, even if it fails. */
+    void onAppendStarted() {
         appended = true;
     }
 
@@ -55,23 +56,24 @@
             return nowMillis < deadlineMillis ? read() : notAppended(ErrorCode.PLATFORM_UNAVAILABLE, "log: no answer");
         }
         if (!replay.isComplete()) {
-            return notAppended(ErrorCode.HISTORY_TRUNCATED, LogFollower.truncatedMessage(replay));
+            return notAppended(ErrorCode.HISTORY_TRUNCATED, HistoryReader.truncatedMessage(replay));
         }
-        PublishOutcome outcome = settlement.outcome(replay);
+        PublishOutcome outcome = outcomeTracker.outcome(replay);
         if (!(outcome instanceof PublishOutcome.NotYetKnown)) {
-            return new PublishAction.Finish(new PublishResult.Settled(outcome));
+            return new PublishAction.Finish(new PublishResult.Observed(outcome));
         }
-        settlement = new PublishOutcomeTracker(publish);
+        // Records dropped from the log so far precede the append, so they cannot hide its outcome.
+        outcomeTracker = new PublishOutcomeTracker(publish);
         return new PublishAction.Append(publish);
     }
 
     private PublishAction nextAfterAppend(long nowMillis) {
-        PublishOutcome outcome = settlement.outcome(replay);
+        PublishOutcome outcome = outcomeTracker.outcome(replay);
         boolean isOpen = outcome instanceof PublishOutcome.NotYetKnown;
         if (isOpen && nowMillis < deadlineMillis) {
             return read();
         }
-        return new PublishAction.Finish(new PublishResult.Settled(outcome));
+        return new PublishAction.Finish(new PublishResult.Observed(outcome));
     }
 
     private PublishAction read() {
--- a/ctl/src/main/java/org/jasminehub/ctl/StatusCommand.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/StatusCommand.java
@@ -7,7 +7,7 @@
 import org.jasminehub.core.time.Clock;
 import org.jasminehub.platform.PlatformException;
 
-/** Shows the versions in force, once or until one of them is in force everywhere. */
+/** Shows the versions in force, or waits until a version is in force on every entry instance. */
 final class StatusCommand {
     private static final long POLL_INTERVAL_MILLIS = 500;
 
@@ -24,19 +24,21 @@
     }
 
     void show(CommandOptions.Status options) {
-        reader.read(options.entry).answers().forEach((instance, answer) -> out.println(lineOf(instance, answer)));
+        reader.read(options.entry)
+                .statuses()
+                .forEach((instance, status) -> out.println(formatStatus(instance, status)));
     }
 
     void watch(CommandOptions.Watch options) {
         long version = CommandOptions.parseVersion("--at-least", options.version);
         long deadlineMillis = clock.monotonicMillis() + TimeUnit.SECONDS.toMillis(options.timeoutSeconds);
-        String last = "";
+        String lastLine = "";
         while (true) {
             FleetStatus fleet = read(options.entry, deadlineMillis);
             String line = fleet.progress(options.team, version);
-            if (!line.equals(last)) {
+            if (!line.equals(lastLine)) {
                 out.println(line);
-                last = line;
+                lastLine = line;
             }
             if (fleet.isInForceEverywhere(options.team, version)) {
                 return;
@@ -62,13 +64,13 @@
         }
     }
 
-    private static String lineOf(String instance, Optional<StatusJson> answer) {
-        if (answer.isEmpty()) {
+    private static String formatStatus(String instance, Optional<StatusJson> status) {
+        if (status.isEmpty()) {
             return instance + " no answer";
         }
         StringBuilder line = new StringBuilder(instance);
-        line.append(answer.get().current() ? " current" : " cannot-tell-whether-current");
-        for (StatusJson.VersionJson document : answer.get().documents()) {
+        line.append(status.get().current() ? " current" : " cannot-tell-whether-current");
+        for (StatusJson.VersionJson document : status.get().documents()) {
             line.append(' ').append(document.team()).append('=').append(document.version());
         }
         return line.toString();
--- a/ctl/src/main/java/org/jasminehub/ctl/StatusJson.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/StatusJson.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What an entry instance says of itself.
+ * The status that an entry instance reports.
  *
- * @param instance its name
- * @param current whether it knows that its documents are the newest
- * @param documents the versions that it has in force
- * @param members the instances that it knows
+ * @param instance the name of the instance
+ * @param current whether its documents are known to be up to date with the log
+ * @param documents the versions that are in force on it
+ * @param members the instances in its view of the membership
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record StatusJson(String instance, boolean current, List<VersionJson> documents, List<MemberJson> members) {
@@ -18,7 +18,7 @@
         members = List.copyOf(members);
     }
 
-    /** A team's version in force. */
+    /** The version of a team's document that is in force. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     record VersionJson(String team, long version) {}
 
--- a/ctl/src/main/java/org/jasminehub/ctl/package-info.java
+++ b/ctl/src/main/java/org/jasminehub/ctl/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' tool: publishes documents, shows what is in force, and keeps the record for auditors. */
+/** The operators' command line tool: publishes documents, shows versions in force, and exports the audit trail. */
 @NullMarked
 package org.jasminehub.ctl;
 
--- a/ctl/src/test/java/org/jasminehub/ctl/CtlProgramTest.java
+++ b/ctl/src/test/java/org/jasminehub/ctl/CtlProgramTest.java
@@ -46,11 +46,11 @@
 
         @Override
         public CompletionStage<StatusJson> fetchStatus(String address) {
-            Deque<StatusJson> answers = statuses.getOrDefault(address, new ArrayDeque<>());
-            if (answers.isEmpty()) {
+            Deque<StatusJson> responses = statuses.getOrDefault(address, new ArrayDeque<>());
+            if (responses.isEmpty()) {
                 return CompletableFuture.failedFuture(new PlatformException("entry", "no answer", null));
             }
-            return CompletableFuture.completedFuture(answers.size() > 1 ? answers.poll() : answers.peek());
+            return CompletableFuture.completedFuture(responses.size() > 1 ? responses.poll() : responses.peek());
         }
     }
 
@@ -83,25 +83,25 @@
         return bytes.toString(StandardCharsets.UTF_8).replace(directory.toString(), "DIR");
     }
 
-    private void answer(String address, String instance, boolean current, long... versions) {
-        Deque<StatusJson> answers = statuses.computeIfAbsent(address, key -> new ArrayDeque<>());
+    private void addStatuses(String address, String instance, boolean current, long... versions) {
+        Deque<StatusJson> responses = statuses.computeIfAbsent(address, key -> new ArrayDeque<>());
         for (long version : versions) {
             List<StatusJson.MemberJson> members = List.of(
                     new StatusJson.MemberJson("entry-1", "ENTRY", "LIVE", "127.0.0.1", 8001),
                     new StatusJson.MemberJson("entry-2", "ENTRY", "LIVE", "127.0.0.1", 8002),
                     new StatusJson.MemberJson("agent-1", "AGENT", "LIVE", "127.0.0.1", 0));
-            answers.add(
+            responses.add(
                     new StatusJson(instance, current, List.of(new StatusJson.VersionJson("drafts", version)), members));
         }
     }
 
     @Test
-    void testSessionOfPublishesRacesAndLostAnswers() {
+    void testPublishConflictsAndLostResponses() {
         run("check DIR/one.yaml");
         run("check DIR/bad.yaml");
         publish("none", "ana", "one.yaml");
         publish("none", "bruno", "two.yaml");
-        log.failAppend(AppendFault.ANSWER_LOST);
+        log.failAppend(AppendFault.RESPONSE_LOST);
         publish("0", "bruno", "two.yaml");
         log.failAppend(AppendFault.DELAYED);
         publish("1", "ana", "one.yaml");
@@ -110,14 +110,14 @@
         publish("x", "ana", "one.yaml");
         publish("2", "ana", "missing.yaml");
         run("history --log " + LOG + " --team drafts");
-        log.dropBelow(1);
+        log.truncateBefore(1);
         publish("2", "ana", "two.yaml");
         run("history --log " + LOG);
         Approvals.verify(transcript());
     }
 
     @Test
-    void testSessionOfAuditThatFindsARemovedEntry() throws IOException {
+    void testAuditDetectsRemovedAndChangedEntries() throws IOException {
         publish("none", "ana", "one.yaml");
         publish("0", "bruno", "two.yaml");
         publish("1", "ana", "one.yaml");
@@ -137,9 +137,9 @@
     }
 
     @Test
-    void testSessionOfWatchingAChangeAndALaggard() {
-        answer("127.0.0.1:8001", "entry-1", true, 3, 9);
-        answer("127.0.0.1:8002", "entry-2", false, 3, 3, 9);
+    void testWatchReportsLaggingInstances() {
+        addStatuses("127.0.0.1:8001", "entry-1", true, 3, 9);
+        addStatuses("127.0.0.1:8002", "entry-2", false, 3, 3, 9);
         run("watch --entry 127.0.0.1:8001 --team drafts --at-least 9");
         run("status --entry 127.0.0.1:8001");
         statuses.remove("127.0.0.1:8002");
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void testWrongCommandLinesGiveExitCodeTwo() {
+    void testInvalidCommandLinesReturnExitCodeTwo() {
         run("publish DIR/one.yaml");
         run("remove DIR/one.yaml");
         run("");
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void testHelpAndVersionGiveExitCodeZero() {
+    void testHelpAndVersionReturnExitCodeZero() {
         run("--help");
         run("--version");
         assertEquals(2, transcript().split("exit 0", -1).length - 1);
--- a/ctl/src/test/java/org/jasminehub/ctl/ExplainCommandTest.java
+++ b/ctl/src/test/java/org/jasminehub/ctl/ExplainCommandTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The story of a request, from the logs of two instances. */
+/** Tests {@code explain} and {@code summary} on the logs of two instances. */
 final class ExplainCommandTest {
-    private static final String ONE = """
+    private static final String ENTRY_1_LOG = """
             {"time":9000,"event":3503,"name":"STORE_LOST","instance":"entry-1","subject":"CONFIGURATION","detail":"down"}
             {"time":9500,"event":3503,"name":"STORE_LOST","instance":"entry-9","subject":"CONFIGURATION","detail":"down"}
             {"time":10200,"event":5503,"name":"ATTEMPT_FAILED","instance":"entry-1","requestId":"a","endpoint":"e-1","reason":"CUT"}
             {"time":10300,"event":5501,"name":"CALL_REFUSED","instance":"entry-1","requestId":"a","code":"endpoint-failed","totalMillis":120}
             some other program's line
             """;
-    private static final String TWO = """
+    private static final String ENTRY_2_LOG = """
             12.5 entry-2 {"time":70900,"event":5500,"name":"CALL_SERVED","instance":"entry-2","requestId":"b","code":"","totalMillis":80}
             """;
 
-    /** These commands read files only. */
+    /** Fails on any connection, since these commands only read files. */
     private static final class NoConnections implements Connections {
         @Override
         public LogService openLog(String address) {
@@ -53,8 +53,8 @@
     void start() throws IOException {
         PrintStream console = new PrintStream(output, true, StandardCharsets.UTF_8);
         program = new CtlProgram(new NoConnections(), new ManualClock(0), millis -> {}, () -> "n", console, console);
-        Files.writeString(directory.resolve("one.log"), ONE);
-        Files.writeString(directory.resolve("two.log"), TWO);
+        Files.writeString(directory.resolve("one.log"), ENTRY_1_LOG);
+        Files.writeString(directory.resolve("two.log"), ENTRY_2_LOG);
         Files.writeString(directory.resolve("other.txt"), "nothing here\n");
     }
 
@@ -67,16 +67,16 @@
         return directory.resolve(name).toString();
     }
 
-    /** One request. */
+    /** Tests of {@code explain}. */
     @Nested
     final class Explain {
         @Test
-        void testTheStoryIsInOrderWithWhatChangedAtTheInstanceBefore() {
-            String story = run(ExitCode.OK, "explain", "--request", "a", file("two.log"), file("one.log"));
+        void testEventsAreInOrderOfTimeWithPrecedingStateChanges() {
+            String text = run(ExitCode.OK, "explain", "--request", "a", file("two.log"), file("one.log"));
 
-            assertTrue(story.indexOf("STORE_LOST") < story.indexOf("ATTEMPT_FAILED"), story);
-            assertTrue(story.indexOf("ATTEMPT_FAILED") < story.indexOf("CALL_REFUSED"), story);
-            assertEquals(3, story.lines().count(), story);
+            assertTrue(text.indexOf("STORE_LOST") < text.indexOf("ATTEMPT_FAILED"), text);
+            assertTrue(text.indexOf("ATTEMPT_FAILED") < text.indexOf("CALL_REFUSED"), text);
+            assertEquals(3, text.lines().count(), text);
         }
 
         @Test
@@ -86,13 +86,13 @@
         }
 
         @Test
-        void testAFileThatIsNoLogIsAnError() {
+        void testFileWithoutEventsIsAnError() {
             assertTrue(run(ExitCode.BAD_INPUT, "explain", "--request", "a", file("other.txt"))
                     .contains("holds no line of a jasminehub log"));
         }
     }
 
-    /** All requests. */
+    /** Tests of {@code summary}. */
     @Nested
     final class Summary {
         @Test
--- a/ctl/src/test/java/org/jasminehub/ctl/FaultyLog.java
+++ b/ctl/src/test/java/org/jasminehub/ctl/FaultyLog.java
@@ -14,13 +14,13 @@
 import org.jasminehub.platform.log.LogRecord;
 import org.jasminehub.platform.log.LogService;
 
-/** A log in memory that fails, loses answers, repeats, delays and forgets when told to. */
+/** An in-memory log with simulated failures: lost, duplicated and delayed appends, failed reads, and truncation. */
 final class FaultyLog implements LogService {
-    /** What becomes of an append. */
+    /** The simulated failure of an append. */
     enum AppendFault {
         NONE,
-        LOST_BEFORE_EFFECT,
-        ANSWER_LOST,
+        REQUEST_LOST,
+        RESPONSE_LOST,
         STORED_TWICE,
         DELAYED
     }
@@ -51,7 +51,7 @@
         new SnapshotSplitter(1_000).split(state, "round", "entry-1", 0).forEach(this::store);
     }
 
-    void dropBelow(long offset) {
+    void truncateBefore(long offset) {
         firstOffset = offset;
     }
 
@@ -80,12 +80,12 @@
     public CompletionStage<Long> append(byte[] payload) {
         appends++;
         beforeAppend.run();
-        AppendFault now = fault;
+        AppendFault currentFault = fault;
         fault = AppendFault.NONE;
-        return switch (now) {
+        return switch (currentFault) {
             case NONE -> CompletableFuture.completedFuture(store(payload));
-            case LOST_BEFORE_EFFECT -> failed();
-            case ANSWER_LOST -> {
+            case REQUEST_LOST -> failed();
+            case RESPONSE_LOST -> {
                 store(payload);
                 yield failed();
             }
--- a/ctl/src/test/java/org/jasminehub/ctl/PublishRunnerTest.java
+++ b/ctl/src/test/java/org/jasminehub/ctl/PublishRunnerTest.java
@@ -31,25 +31,25 @@
     }
 
     private void assertOutcome(PublishOutcome expected, PublishResult result) {
-        assertEquals(new PublishResult.Settled(expected), result);
+        assertEquals(new PublishResult.Observed(expected), result);
     }
 
     private HistoryState state() {
-        LogFollower follower = new LogFollower(log, clock::advanceMillis);
-        follower.readToEnd();
-        return follower.replay().state();
+        HistoryReader reader = new HistoryReader(log, clock::advanceMillis);
+        reader.readToEnd();
+        return reader.replay().state();
     }
 
     @Nested
     final class Append {
         @Test
-        void testAnsweredAppendIsAccepted() {
+        void testSuccessfulAppendIsAccepted() {
             assertOutcome(new PublishOutcome.Accepted(0), run(publish(NO_VERSION, "mine")));
         }
 
         @Test
-        void testLostAnswerIsSettledWithoutASecondAppend() {
-            log.failAppend(AppendFault.ANSWER_LOST);
+        void testLostResponseIsResolvedWithoutSecondAppend() {
+            log.failAppend(AppendFault.RESPONSE_LOST);
             log.failReads(3);
             assertOutcome(new PublishOutcome.Accepted(0), run(publish(NO_VERSION, "mine")));
             assertEquals(1, log.appends());
@@ -63,14 +63,14 @@
         }
 
         @Test
-        void testAppendWithoutEffectIsNotYetKnownAndMayBeRepeatedUnderItsNonce() {
-            log.failAppend(AppendFault.LOST_BEFORE_EFFECT);
+        void testLostAppendIsNotYetKnownAndCanBeRetriedWithSameNonce() {
+            log.failAppend(AppendFault.REQUEST_LOST);
             assertOutcome(new PublishOutcome.NotYetKnown(0), run(publish(NO_VERSION, "mine")));
             assertOutcome(new PublishOutcome.Accepted(0), run(publish(NO_VERSION, "mine")));
         }
 
         @Test
-        void testDelayedRecordAndItsRepeatAreAcceptedOnce() {
+        void testDelayedRecordAndItsRetryAreAcceptedOnce() {
             log.failAppend(AppendFault.DELAYED);
             assertOutcome(new PublishOutcome.NotYetKnown(0), run(publish(NO_VERSION, "mine")));
             log.runBeforeAppend(log::storeDelayed);
@@ -79,7 +79,7 @@
         }
 
         @Test
-        void testRepeatAfterItTookEffectAppendsNothing() {
+        void testRetryAfterAppendTookEffectAppendsNothing() {
             log.failAppend(AppendFault.DELAYED);
             run(publish(NO_VERSION, "mine"));
             log.storeDelayed();
@@ -91,20 +91,20 @@
     @Nested
     final class Race {
         @Test
-        void testOneOfTwoOperatorsIsAcceptedAndTheOtherLearnsTheWinner() {
+        void testConflictReportsTheWinningOperator() {
             log.runBeforeAppend(() -> log.store(publish(NO_VERSION, "other")));
             assertOutcome(new PublishOutcome.Conflicted(0, "operator-of-other"), run(publish(NO_VERSION, "mine")));
         }
 
         @Test
-        void testLostAppendIsAConflictOnceItsBaseIsTaken() {
-            log.failAppend(AppendFault.LOST_BEFORE_EFFECT);
+        void testLostAppendIsAConflictOnceItsBaseIsReplaced() {
+            log.failAppend(AppendFault.REQUEST_LOST);
             log.runBeforeAppend(() -> log.store(publish(NO_VERSION, "other")));
             assertOutcome(new PublishOutcome.Conflicted(0, "operator-of-other"), run(publish(NO_VERSION, "mine")));
         }
 
         @Test
-        void testBaseThatIsNotInForceIsNeverAppended() {
+        void testRecordWhoseBaseIsNotInForceIsNotAppended() {
             log.store(publish(NO_VERSION, "other"));
             assertOutcome(new PublishOutcome.Conflicted(0, "operator-of-other"), run(publish(7, "mine")));
             assertEquals(0, log.appends());
@@ -125,7 +125,7 @@
         @Test
         void testTruncatedLogWithoutSnapshotIsReportedAndNothingIsAppended() {
             log.store(publish(NO_VERSION, "other"));
-            log.dropBelow(1);
+            log.truncateBefore(1);
             PublishResult.NotAppended failed =
                     assertInstanceOf(PublishResult.NotAppended.class, run(publish(NO_VERSION, "mine")));
             assertEquals(ErrorCode.HISTORY_TRUNCATED, failed.code());
@@ -133,10 +133,10 @@
         }
 
         @Test
-        void testTruncatedLogWithSnapshotIsPublishedTo() {
+        void testPublishSucceedsOnTruncatedLogWithSnapshot() {
             log.store(publish(NO_VERSION, "other"));
             HistoryState state = state();
-            log.dropBelow(1);
+            log.truncateBefore(1);
             log.storeSnapshot(state);
             assertOutcome(new PublishOutcome.Accepted(2), run(publish(0, "mine")));
         }
--- a/ctl/src/test/java/org/jasminehub/ctl/PublishedChangeTest.java
+++ b/ctl/src/test/java/org/jasminehub/ctl/PublishedChangeTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An operator and entry instances over real sockets, with the platform up and down. */
+/** Publishes documents to entry instances over real sockets, with and without an outage of the platform's log. */
 final class PublishedChangeTest {
     private static final String HOST = "127.0.0.1";
     private static final long POLL_NANOS = 10_000_000;
@@ -81,7 +81,7 @@
         return entry;
     }
 
-    private void awaitThatAllKnow(int count) {
+    private void awaitEntryCount(int count) {
         while (!entries.stream()
                 .allMatch(entry -> entry.state().membersOf(MemberRole.ENTRY).size() >= count)) {
             LockSupport.parkNanos(POLL_NANOS);
@@ -94,7 +94,7 @@
         }
     }
 
-    private void say(String line) {
+    private void printHeading(String line) {
         console.println("# " + line);
     }
 
@@ -126,7 +126,7 @@
         run("watch --entry ENTRY --team drafts --at-least " + version);
     }
 
-    /** The lines of progress depend on how fast the instances are; what they end in does not. */
+    /** Returns the output without the progress lines of {@code watch}, which depend on timing. */
     private String transcript() {
         return bytes.toString(StandardCharsets.UTF_8)
                 .lines()
@@ -135,41 +135,41 @@
     }
 
     @Test
-    void testSessionOfAPublishedChangeWithRacesOutageAndNewInstance() throws IOException {
+    void testPublishWithConflictOutageAndNewInstance() throws IOException {
         start(1, "sul-a");
         start(2, "sul-b");
         start(3, "sul-a");
-        awaitThatAllKnow(3);
-        say("a first document takes effect everywhere");
+        awaitEntryCount(3);
+        printHeading("a first document takes effect everywhere");
         publish("none", "ana", 1);
         watch(0);
         awaitSnapshot();
-        say("two operators change the same version");
-        log.loseAnswers(1);
+        printHeading("two operators change the same version");
+        log.loseResponses(1);
         publish("0", "bruno", 2);
         publish("0", "ana", 3);
-        say("the platform's log is down: what is in force stays, and a new instance starts from its peers");
+        printHeading("the platform's log is down: what is in force stays, and a new instance starts from its peers");
         log.setDown(true);
         publish("2", "ana", 3);
         start(4, "sul-b");
-        awaitThatAllKnow(4);
+        awaitEntryCount(4);
         watch(2);
-        say("the log is back");
+        printHeading("the log is back");
         log.setDown(false);
         run("history --log LOG --team drafts");
         Approvals.verify(transcript());
     }
 
     @Test
-    void testAllInstancesKilledStartAgainFromTheTruncatedLog() throws IOException {
+    void testInstanceRestartsFromTruncatedLog() throws IOException {
         start(1, "sul-a");
-        awaitThatAllKnow(1);
+        awaitEntryCount(1);
         publish("none", "ana", 1);
         awaitSnapshot();
         entries.remove(0).close();
         log.truncateBefore(1);
         start(1, "sul-a");
-        awaitThatAllKnow(1);
+        awaitEntryCount(1);
         watch(0);
         assertTrue(transcript().contains("in force on 1 of 1"));
     }
--- a/entry/src/test/java/org/jasminehub/entry/control/members/MembershipControllerTest.java
+++ b/entry/src/test/java/org/jasminehub/entry/control/members/MembershipControllerTest.java
@@ -89,7 +89,7 @@
 
     @Test
     void testLeavingAgentGetsNoNewWorkWhileTheListLags() {
-        list.hold(true);
+        list.freeze(true);
         firstAgent.leave();
         await(() -> !isLive("agent-1"));
         awaitRefreshes();
@@ -98,7 +98,7 @@
 
     @Test
     void testListThatIsSuddenlyEmptyRemovesNoMember() {
-        list.showNothing();
+        list.showEmptyList();
         await(() -> hasEvent(MembershipEventKind.LIST_DOUBTED));
         awaitRefreshes();
         assertUsable("agent-1", "agent-2");
@@ -114,7 +114,7 @@
 
     @Test
     void testStoppedPeerIsNotLiveWhileTheListLags() {
-        list.hold(true);
+        list.freeze(true);
         peer.close();
         await(() -> !isLive("entry-2"));
         await(() -> hasEvent(MembershipEventKind.MEMBER_SILENT));
--- a/standin/src/main/java/org/jasminehub/standin/BookingStandin.java
+++ b/standin/src/main/java/org/jasminehub/standin/BookingStandin.java
@@ -11,9 +11,9 @@
 import org.jasminehub.platform.http.Address;
 
 /**
- * A plain booking service: {@code POST /trips} books and counts its real runs, {@code GET /trips} shows them.
+ * A booking service without idempotency keys: {@code POST /trips} adds a booking, {@code GET /trips} lists all.
  *
- * <p>It knows nothing of idempotency keys: what reaches it runs. Safe for use by several threads.
+ * <p>Every request that reaches it is executed, so a test sees each duplicate execution. Thread-safe.
  */
 public final class BookingStandin implements AutoCloseable {
     private static final int BODY_TIMEOUT_MILLIS = 1_000;
@@ -22,42 +22,42 @@
     private final ClassicActorSystemProvider system;
     private final StandinServer server;
     private final List<String> bookings = new ArrayList<>();
-    private CompletableFuture<Void> answerGate = CompletableFuture.completedFuture(null);
+    private CompletableFuture<Void> responseGate = CompletableFuture.completedFuture(null);
 
-    /** Starts a service without bookings on {@code port}; port 0 takes a free one. */
+    /** Starts a service without bookings on {@code port}; port 0 selects a free one. */
     public BookingStandin(ClassicActorSystemProvider system, int port) {
         this.system = system;
         this.server = StandinServer.start(system, port, this::handle);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address on which the server listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Returns the bodies of all bookings that really ran, in order. */
+    /** Returns the request bodies of all executed bookings, in order. */
     public synchronized List<String> bookings() {
         return List.copyOf(bookings);
     }
 
-    /** Makes bookings run at once but holds their answers until {@link #releaseAnswers}. */
-    public synchronized void holdAnswers() {
-        answerGate = new CompletableFuture<>();
+    /** Executes bookings immediately, but delays their responses until {@link #releaseResponses} is called. */
+    public synchronized void holdResponses() {
+        responseGate = new CompletableFuture<>();
     }
 
-    /** Sends the answers that were held. */
-    public synchronized void releaseAnswers() {
-        answerGate.complete(null);
+    /** Sends the delayed responses. */
+    public synchronized void releaseResponses() {
+        responseGate.complete(null);
     }
 
-    /** Dies with every answer that is held. */
-    public void closeWithoutAnswers() {
+    /** Closes the service without sending the delayed responses. */
+    public void closeWithoutResponding() {
         server.close();
     }
 
     @Override
     public void close() {
-        releaseAnswers();
+        releaseResponses();
         server.close();
     }
 
@@ -82,12 +82,12 @@
     }
 
     private synchronized CompletableFuture<Void> gate() {
-        return answerGate;
+        return responseGate;
     }
 
-    /** The answer to a booking: the ordinal of its real run. */
+    /** The response to a booking, with the ordinal number of its execution. */
     record TripJson(int execution) {}
 
-    /** All bookings. */
+    /** The response that lists all bookings. */
     record TripsJson(List<String> trips) {}
 }
--- a/standin/src/main/java/org/jasminehub/standin/CancellationCounter.java
+++ b/standin/src/main/java/org/jasminehub/standin/CancellationCounter.java
@@ -9,7 +9,7 @@
 import org.apache.pekko.stream.stage.GraphStage;
 import org.apache.pekko.stream.stage.GraphStageLogic;
 
-/** Passes elements on and runs an action when the reader cancels before the end. */
+/** Passes elements through unchanged and runs an action when the downstream cancels before the stream has completed. */
 final class CancellationCounter<T> extends GraphStage<FlowShape<T, T>> {
     private final Inlet<T> in = Inlet.create("CancellationCounter.in");
     private final Outlet<T> out = Outlet.create("CancellationCounter.out");
--- a/standin/src/main/java/org/jasminehub/standin/EngineStandin.java
+++ b/standin/src/main/java/org/jasminehub/standin/EngineStandin.java
@@ -25,14 +25,14 @@
 import org.jasminehub.platform.http.Address;
 
 /**
- * A model engine: batches without limit of order, streams one token an event, resumes and cancels streams, reports its
- * load.
+ * A model engine that runs any number of requests concurrently, sends one token per event, resumes and cancels streams,
+ * and reports its load.
  *
- * <p>The text depends on the prompt alone, so every engine gives the same answer and a resumed stream can be checked.
- * Safe for use by several threads.
+ * <p>The text depends only on the prompt, so that every engine generates the same text and a test can check a stream that
+ * was resumed on another engine. Thread-safe.
  */
 public final class EngineStandin implements AutoCloseable {
-    /** The header that names the first event wanted of a resumed stream. */
+    /** The request header with the index of the first event of a resumed stream. */
     public static final String RESUME_HEADER = "x-resume-from-event";
 
     private static final int BODY_TIMEOUT_MILLIS = 1_000;
@@ -49,9 +49,9 @@
     private final AtomicInteger started = new AtomicInteger();
     private final AtomicInteger cancelled = new AtomicInteger();
     private volatile int stepMillis;
-    private volatile int cutAfterTokens = Integer.MAX_VALUE;
+    private volatile int failAfterTokens = Integer.MAX_VALUE;
 
-    /** Starts an engine on {@code port}, 0 for a free one, that takes {@code stepMillis} a token. */
+    /** Starts an engine on {@code port} that takes {@code stepMillis} per token; port 0 selects a free one. */
     public EngineStandin(ClassicActorSystemProvider system, int port, int stepMillis, int capacityRequests) {
         this.system = system;
         this.stepMillis = stepMillis;
@@ -59,32 +59,32 @@
         this.server = StandinServer.start(system, port, this::handle);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address on which the server listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Returns how many requests it has begun. */
+    /** Returns the number of requests that were started. */
     public int startedRequests() {
         return started.get();
     }
 
-    /** Returns how many streams ended because nobody read them any more. */
+    /** Returns the number of streams that the client cancelled. */
     public int cancelledRequests() {
         return cancelled.get();
     }
 
-    /** Sets the time for one token. */
+    /** Sets the time per token. */
     public void setStepMillis(int millis) {
         stepMillis = millis;
     }
 
-    /** Breaks every later stream after {@code tokens} tokens. */
-    public void cutAfterTokens(int tokens) {
-        cutAfterTokens = tokens;
+    /** Makes every later response fail after {@code tokens} tokens. */
+    public void failAfterTokens(int tokens) {
+        failAfterTokens = tokens;
     }
 
-    /** Returns the whole text that any engine answers to {@code prompt} with {@code tokens} tokens. */
+    /** Returns the text of {@code tokens} tokens that every engine generates for {@code prompt}. */
     public static String textOf(String prompt, int tokens) {
         return IntStream.range(0, tokens).mapToObj(i -> tokenOf(prompt, i)).collect(Collectors.joining());
     }
@@ -120,15 +120,15 @@
             return CompletableFuture.completedFuture(StandinServer.status(400));
         }
         started.incrementAndGet();
-        String id = headerOf(request, "x-request-id", "none");
-        int from = Integer.parseInt(headerOf(request, RESUME_HEADER, "0"));
+        String id = headerValue(request, "x-request-id", "none");
+        int from = Integer.parseInt(headerValue(request, RESUME_HEADER, "0"));
         if (chat.stream()) {
             return CompletableFuture.completedFuture(stream(id, chat, from));
         }
         return tokens(chat, 0)
                 .runFold("", String::concat, system)
                 .thenApply(text ->
-                        StandinServer.json(StandinServer.STATUS_OK, CompletionJson.whole(id, chat.model(), text)));
+                        StandinServer.json(StandinServer.STATUS_OK, CompletionJson.complete(id, chat.model(), text)));
     }
 
     private HttpResponse stream(String id, ChatRequestJson chat, int from) {
@@ -139,15 +139,16 @@
                         CompletionJson.chunk(id, chat.model(), pair.first(), from + (Long) pair.second() == last))))
                 .concat(Source.single(event("[DONE]")));
         return HttpResponse.create()
-                .withEntity(
-                        HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), counted(events)));
+                .withEntity(HttpEntities.createChunked(
+                        ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), withCounters(events)));
     }
 
     private Source<String, NotUsed> tokens(ChatRequestJson chat, int from) {
-        int cut = cutAfterTokens;
+        int tokenLimit = failAfterTokens;
         Source<String, NotUsed> all = Source.range(from, chat.tokens() - 1).map(i -> {
-            if (i >= cut) {
-                throw new PlatformException("engine stand-in", "cut after " + cut + " tokens", null);
+            if (i >= tokenLimit) {
+                throw new PlatformException(
+                        "engine stand-in", "response interrupted after " + tokenLimit + " tokens", null);
             }
             return tokenOf(chat.prompt(), i);
         });
@@ -157,7 +158,7 @@
         return stepMillis == 0 ? all : all.throttle(1, Duration.ofMillis(stepMillis));
     }
 
-    private Source<ByteString, NotUsed> counted(Source<ByteString, NotUsed> events) {
+    private Source<ByteString, NotUsed> withCounters(Source<ByteString, NotUsed> events) {
         return events.watchTermination((unused, done) -> {
                     running.incrementAndGet();
                     done.whenComplete((Done value, Throwable failure) -> running.decrementAndGet());
@@ -174,7 +175,7 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new PlatformException("engine stand-in", "cannot write an event", e);
+            throw new PlatformException("engine stand-in", "cannot serialize an event", e);
         }
     }
 
@@ -185,7 +186,7 @@
         return WORDS[Math.floorMod(hash, WORDS.length)] + " ";
     }
 
-    private static String headerOf(HttpRequest request, String name, String fallback) {
+    private static String headerValue(HttpRequest request, String name, String fallback) {
         return request.getHeader(name).map(header -> header.value()).orElse(fallback);
     }
 }
--- a/standin/src/main/java/org/jasminehub/standin/InstanceListStandin.java
+++ b/standin/src/main/java/org/jasminehub/standin/InstanceListStandin.java
@@ -15,49 +15,49 @@
 import org.jasminehub.platform.list.MemberJson;
 
 /**
- * The platform's list of instances; it lags for as long as it is held.
+ * The platform's list of instances, which tests can freeze to simulate a list that lags behind.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class InstanceListStandin implements AutoCloseable {
     private final StandinServer server;
-    private final Map<InstanceId, Member> truth = new TreeMap<>();
-    private List<MemberJson> shown = List.of();
-    private boolean held;
+    private final Map<InstanceId, Member> members = new TreeMap<>();
+    private List<MemberJson> published = List.of();
+    private boolean frozen;
     private boolean down;
     private long reads;
 
-    /** Starts an empty list on {@code port}; port 0 takes a free one. */
+    /** Starts an empty list on {@code port}; port 0 selects a free one. */
     public InstanceListStandin(ClassicActorSystemProvider system, int port) {
         this.server = StandinServer.start(system, port, this::handle);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address on which the server listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Adds {@code member} or replaces the one of the same name. */
+    /** Adds {@code member}, or replaces the member with the same name. */
     public synchronized void put(Member member) {
-        truth.put(member.id(), member);
+        members.put(member.id(), member);
         refresh();
     }
 
     /** Removes the member named {@code id}. */
     public synchronized void remove(InstanceId id) {
-        truth.remove(id);
+        members.remove(id);
         refresh();
     }
 
-    /** Holds the list as it is shown, or shows the truth again. */
-    public synchronized void hold(boolean isHeld) {
-        held = isHeld;
+    /** Freezes the published list, or publishes the actual members again. */
+    public synchronized void freeze(boolean isFrozen) {
+        frozen = isFrozen;
         refresh();
     }
 
-    /** Shows no instance at all until the list changes. */
-    public synchronized void showNothing() {
-        shown = List.of();
+    /** Publishes an empty list until the list changes. */
+    public synchronized void showEmptyList() {
+        published = List.of();
     }
 
     /** Starts or ends an outage. */
@@ -65,7 +65,7 @@
         down = isDown;
     }
 
-    /** Returns how often it was asked. */
+    /** Returns the number of times that the list was read. */
     public synchronized long reads() {
         return reads;
     }
@@ -76,8 +76,8 @@
     }
 
     private void refresh() {
-        if (!held) {
-            shown = truth.values().stream().map(MemberJson::of).toList();
+        if (!frozen) {
+            published = members.values().stream().map(MemberJson::of).toList();
         }
     }
 
@@ -85,7 +85,7 @@
         reads++;
         HttpResponse response = down
                 ? StandinServer.status(StandinServer.STATUS_UNAVAILABLE)
-                : StandinServer.json(StandinServer.STATUS_OK, new InstancesJson(shown));
+                : StandinServer.json(StandinServer.STATUS_OK, new InstancesJson(published));
         return CompletableFuture.completedFuture(response);
     }
 }
--- a/standin/src/main/java/org/jasminehub/standin/LogStandin.java
+++ b/standin/src/main/java/org/jasminehub/standin/LogStandin.java
@@ -18,9 +18,9 @@
 import org.jasminehub.platform.log.HttpLogService.RecordJson;
 
 /**
- * The platform's log: appends, reads that wait, retention, outages, and answers to appends that get lost.
+ * The platform's log, with reads that wait for a record, truncation, outages, and lost responses to appends.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class LogStandin implements AutoCloseable {
     private static final int BODY_TIMEOUT_MILLIS = 1_000;
@@ -31,41 +31,41 @@
     private final List<byte[]> records = new ArrayList<>();
     private long firstOffset;
     private boolean down;
-    private int answersToLose;
+    private int responsesToLose;
     private CompletableFuture<Void> nextAppend = new CompletableFuture<>();
 
-    /** Starts an empty log on {@code port}; port 0 takes a free one. */
+    /** Starts an empty log on {@code port}; port 0 selects a free one. */
     public LogStandin(ClassicActorSystemProvider system, int port) {
         this.system = system;
         this.server = StandinServer.start(system, port, this::handle);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address on which the server listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Starts or ends an outage: while it lasts, every call fails and has no effect. */
+    /** Starts or ends an outage, during which every call fails and has no effect. */
     public synchronized void setDown(boolean isDown) {
         down = isDown;
     }
 
-    /** Lets the next {@code count} appends take effect but answers them with an error. */
-    public synchronized void loseAnswers(int count) {
-        answersToLose = count;
+    /** Makes the next {@code count} appends take effect but return an error. */
+    public synchronized void loseResponses(int count) {
+        responsesToLose = count;
     }
 
-    /** Drops every record before {@code offset}. */
+    /** Drops all records before {@code offset}. */
     public synchronized void truncateBefore(long offset) {
         firstOffset = Math.max(firstOffset, Math.min(offset, records.size()));
     }
 
-    /** Returns the offset that the next append will get. */
+    /** Returns the offset of the next append. */
     public synchronized long nextOffset() {
         return records.size();
     }
 
-    /** Appends {@code payload} without any fault and returns its offset. */
+    /** Appends {@code payload} directly, without simulated faults, and returns its offset. */
     public long append(byte[] payload) {
         CompletableFuture<Void> waiting;
         long offset;
@@ -93,9 +93,9 @@
                     .toStrict(BODY_TIMEOUT_MILLIS, system)
                     .thenApply(body -> handleAppend(body.getData().toArray()));
         }
-        long from = Long.parseLong(queryOf(request, "from"));
-        int max = Integer.parseInt(queryOf(request, "max"));
-        long waitMillis = Long.parseLong(queryOf(request, "waitMillis"));
+        long from = Long.parseLong(queryParameter(request, "from"));
+        int max = Integer.parseInt(queryParameter(request, "max"));
+        long waitMillis = Long.parseLong(queryParameter(request, "waitMillis"));
         return waitForRecord(from, waitMillis)
                 .thenApply(ignored -> StandinServer.json(StandinServer.STATUS_OK, page(from, max)));
     }
@@ -107,7 +107,7 @@
         } catch (IOException e) {
             return StandinServer.status(400);
         }
-        if (losesAnswer()) {
+        if (consumeLostResponse()) {
             return StandinServer.status(StandinServer.STATUS_UNAVAILABLE);
         }
         return StandinServer.json(StandinServer.STATUS_OK, new AppendedJson(offset));
@@ -128,11 +128,11 @@
         return down;
     }
 
-    private synchronized boolean losesAnswer() {
-        if (answersToLose == 0) {
+    private synchronized boolean consumeLostResponse() {
+        if (responsesToLose == 0) {
             return false;
         }
-        answersToLose--;
+        responsesToLose--;
         return true;
     }
 
@@ -144,7 +144,7 @@
         return new PageJson(firstOffset, records.size(), page);
     }
 
-    private static String queryOf(HttpRequest request, String name) {
+    private static String queryParameter(HttpRequest request, String name) {
         return request.getUri().query().get(name).orElse("0");
     }
 }
--- a/standin/src/main/java/org/jasminehub/standin/StandinServer.java
+++ b/standin/src/main/java/org/jasminehub/standin/StandinServer.java
@@ -14,7 +14,7 @@
 import org.jasminehub.platform.PlatformException;
 import org.jasminehub.platform.http.Address;
 
-/** An HTTP server on loopback for one stand-in. */
+/** The HTTP server of a stand-in, on the loopback interface. */
 final class StandinServer implements AutoCloseable {
     static final int STATUS_OK = 200;
     static final int STATUS_NOT_FOUND = 404;
@@ -30,7 +30,7 @@
         this.binding = binding;
     }
 
-    /** Starts a server on {@code port}; port 0 takes a free one. */
+    /** Starts a server on {@code port}; port 0 selects a free one. */
     static StandinServer start(
             ClassicActorSystemProvider system, int port, Function<HttpRequest, CompletionStage<HttpResponse>> handler) {
         ServerBinding binding = Http.get(system)
@@ -47,7 +47,7 @@
                     .withStatus(status)
                     .withEntity(ContentTypes.APPLICATION_JSON, MAPPER.writeValueAsBytes(body));
         } catch (JsonProcessingException e) {
-            throw new PlatformException("stand-in", "cannot write an answer", e);
+            throw new PlatformException("stand-in", "cannot serialize the response body", e);
         }
     }
 
@@ -59,7 +59,7 @@
         return new Address(LOOPBACK, binding.localAddress().getPort());
     }
 
-    /** Closes the listening socket and, after a short grace, every connection. */
+    /** Closes the listening socket and, after {@link #CLOSE_TIMEOUT}, all connections. */
     @Override
     public void close() {
         binding.terminate(CLOSE_TIMEOUT).toCompletableFuture().join();
--- a/standin/src/main/java/org/jasminehub/standin/WeightStoreStandin.java
+++ b/standin/src/main/java/org/jasminehub/standin/WeightStoreStandin.java
@@ -9,7 +9,7 @@
 import org.jasminehub.platform.http.Address;
 import org.jasminehub.platform.weights.HttpWeightStore.WeightsJson;
 
-/** The weight store: gives a fixed number of experts a second and refuses more. Safe for use by several threads. */
+/** A weight store that serves at most a fixed number of experts per second and rejects further requests. Thread-safe. */
 public final class WeightStoreStandin implements AutoCloseable {
     private static final long EXPERT_SIZE_BYTES = 64L * 1024 * 1024;
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -18,17 +18,17 @@
     private final StandinServer server;
     private final Clock clock;
     private final int expertsPerSecond;
-    private long second;
-    private int givenThisSecond;
+    private long currentSecond;
+    private int servedThisSecond;
 
-    /** Starts a store on {@code port}; port 0 takes a free one. */
+    /** Starts a store on {@code port}; port 0 selects a free one. */
     public WeightStoreStandin(ClassicActorSystemProvider system, int port, Clock clock, int expertsPerSecond) {
         this.clock = clock;
         this.expertsPerSecond = expertsPerSecond;
         this.server = StandinServer.start(system, port, this::handle);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address on which the server listens. */
     public Address address() {
         return server.address();
     }
@@ -40,12 +40,12 @@
 
     private synchronized CompletionStage<HttpResponse> handle(HttpRequest request) {
         long now = clock.monotonicMillis() / MILLIS_PER_SECOND;
-        if (now != second) {
-            second = now;
-            givenThisSecond = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            servedThisSecond = 0;
         }
-        givenThisSecond++;
-        HttpResponse response = givenThisSecond > expertsPerSecond
+        servedThisSecond++;
+        HttpResponse response = servedThisSecond > expertsPerSecond
                 ? StandinServer.status(STATUS_TOO_MANY_REQUESTS)
                 : StandinServer.json(StandinServer.STATUS_OK, new WeightsJson(EXPERT_SIZE_BYTES));
         return CompletableFuture.completedFuture(response);
--- a/standin/src/main/java/org/jasminehub/standin/package-info.java
+++ b/standin/src/main/java/org/jasminehub/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins of the platform, model engines and plain services; they serve tests and the demo only. */
+/** Simple replacements for the platform, model engines and other services, for tests and the demo only. */
 @NullMarked
 package org.jasminehub.standin;
 
