--- a/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
@@ -114,7 +114,7 @@
                             refused.code(),
                             Outcome.NOT_RUN,
                             refused.retryAfterMillis(),
-                            "the endpoint has " + controller.queuedTokens() + " tokens of work queued");
+                            "the endpoint has " + controller.queuedTokens() + " tokens of work waiting");
         }
     }
 
--- a/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
@@ -31,7 +31,7 @@
                 .setOutcome(Outcome.NOT_RUN.label())
                 .setRetryAfterMillis(RETRY_AFTER_MILLIS)
                 .setNewestDocumentVersion(newest)
-                .setMessage("document version " + version + " is older than version " + newest));
+                .setMessage("document version " + version + " is older than " + newest));
     }
 
     /** Returns the newest document version that a call has carried, for each team. */
--- a/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
@@ -20,7 +20,7 @@
     @Override
     public void handle(AgentCall call, CallHandler next) {
         if (leaving) {
-            call.refuse(ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "the agent of the endpoint is shutting down");
+            call.refuse(ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "the endpoint is leaving");
             return;
         }
         next.handle(call);
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
@@ -62,10 +62,7 @@
         if (isModel && status >= FIRST_SERVER_ERROR_STATUS) {
             response.discardEntityBytes(system);
             call.refuse(
-                    ErrorCode.ENDPOINT_FAILED,
-                    Outcome.UNKNOWN,
-                    RETRY_AFTER_MILLIS,
-                    "the engine responded with status " + status);
+                    ErrorCode.ENDPOINT_FAILED, Outcome.UNKNOWN, RETRY_AFTER_MILLIS, "the engine answered " + status);
             return;
         }
         call.head(status, headersOf(response));
@@ -118,14 +115,14 @@
             } else if (isComplete.get()) {
                 call.end();
             } else {
-                reportFailure(call, Outcome.UNKNOWN, "the engine ended the stream before it was complete");
+                reportFailure(call, Outcome.UNKNOWN, "the engine ended its stream early");
             }
         });
     }
 
     private void fail(AgentCall call, @Nullable Throwable failure) {
         Outcome outcome = isConnectFailure(failure) ? Outcome.NOT_RUN : Outcome.UNKNOWN;
-        reportFailure(call, outcome, "the call to the endpoint failed: " + failure);
+        reportFailure(call, outcome, "the endpoint failed: " + failure);
     }
 
     private void reportFailure(AgentCall call, Outcome outcome, String message) {
--- a/core/src/main/java/org/jasminehub/core/internal/Checks.java
+++ b/core/src/main/java/org/jasminehub/core/internal/Checks.java
@@ -33,7 +33,7 @@
     /** Returns {@code value} if it is not empty or blank; otherwise throws an exception. */
     public static String notBlank(String name, String value) {
         if (value.isBlank()) {
-            throw new InvalidArgumentException(name, value, "a non-blank text");
+            throw new InvalidArgumentException(name, value, "a text that is not blank");
         }
         return value;
     }
--- a/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
@@ -46,7 +46,7 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new InvalidArgumentException("message", value, "a value that can be written as JSON");
+            throw new InvalidArgumentException("message", value, "a value that JSON can hold");
         }
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/Attempt.java
@@ -135,7 +135,7 @@
         boolean isStream = call.route().kind() == CallKind.STREAMING;
         long limitMillis = (long) (call.route().targetLatencyMillis()
                 * (isStream ? FIRST_EVENT_TIMEOUT_FACTOR : RESPONSE_TIMEOUT_FACTOR));
-        scheduleTimeout(limitMillis, "no response within " + limitMillis + " ms");
+        scheduleTimeout(limitMillis, "no answer for " + limitMillis + " ms");
     }
 
     private void scheduleTimeout(long limitMillis, String reason) {
@@ -184,11 +184,7 @@
         if (isForOtherRequest
                 || (isSuccess && !parsedHeaders.isSigned())
                 || headers.contains(HttpHeaderNames.CONTENT_ENCODING)) {
-            fail(
-                    AttemptEnd.MAY_HAVE_RUN,
-                    isForOtherRequest
-                            ? "response belongs to another request"
-                            : "response is unsigned or has a content encoding");
+            fail(AttemptEnd.MAY_HAVE_RUN, isForOtherRequest ? "an answer to another request" : "no valid answer");
             return;
         }
         boolean isStream = isSuccess && call.route().kind() == CallKind.STREAMING;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/CallFilters.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/CallFilters.java
@@ -45,14 +45,14 @@
         context.table = configuration.inForce().orElse(null);
         return context.table == null
                 ? Optional.of(Refusal.retryable(
-                        ErrorCode.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration has been received yet"))
+                        ErrorCode.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration is known here yet"))
                 : Optional.empty();
     }
 
     private Optional<Refusal> matchRoute(CallContext context) {
         RouteTable table = context.table;
         if (table == null) {
-            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "call reached route matching without a configuration"));
+            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "no configuration was taken"));
         }
         context.route =
                 table.match(context.request.host(), context.request.path()).orElse(null);
@@ -61,7 +61,7 @@
         }
         return Optional.of(
                 isConfigurationFresh(context)
-                        ? Refusal.of(ErrorCode.ROUTE_UNKNOWN, "no route matches the host and path")
+                        ? Refusal.of(ErrorCode.ROUTE_UNKNOWN, "no route for this host and path")
                         : staleConfiguration(context));
     }
 
@@ -78,8 +78,7 @@
         context.grant =
                 headers.key() == null ? null : table.grant(headers.key()).orElse(null);
         return context.grant == null
-                ? Optional.of(
-                        Refusal.of(ErrorCode.WORKSPACE_UNKNOWN, UNAUTHORIZED, "the API key belongs to no workspace"))
+                ? Optional.of(Refusal.of(ErrorCode.WORKSPACE_UNKNOWN, UNAUTHORIZED, "no workspace holds the key sent"))
                 : Optional.empty();
     }
 
@@ -87,12 +86,12 @@
         Route route = context.route;
         CallHeaders headers = context.headers;
         if (route == null || headers == null) {
-            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "call reached the deadline check without a route"));
+            return Optional.of(Refusal.of(ErrorCode.INTERNAL, "no route was matched"));
         }
         long callerMillis = headers.remainingMillis() == null ? route.timeoutMillis() : headers.remainingMillis();
         context.deadlineMillis = context.arrivedMillis + Math.min(callerMillis, route.timeoutMillis());
         return context.deadlineMillis <= clock.monotonicMillis()
-                ? Optional.of(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the deadline had passed on arrival"))
+                ? Optional.of(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the call came with no time left"))
                 : Optional.empty();
     }
 
@@ -107,6 +106,6 @@
         return Refusal.retryable(
                 ErrorCode.NOT_READY,
                 NOT_READY_RETRY_MILLIS,
-                "the configuration was last confirmed " + context.tableAgeMillis + " ms ago");
+                "the configuration known here is " + context.tableAgeMillis + " ms old");
     }
 }
--- a/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
@@ -151,10 +151,8 @@
 
     private void dispatch() {
         if (!dispatcher.hasEndpoints(service())) {
-            endWithRefusal(Refusal.retryable(
-                    ErrorCode.NO_ENDPOINT,
-                    NO_ENDPOINT_RETRY_MILLIS,
-                    "no endpoint is available for service " + service()));
+            endWithRefusal(
+                    Refusal.retryable(ErrorCode.NO_ENDPOINT, NO_ENDPOINT_RETRY_MILLIS, "no endpoint of " + service()));
             return;
         }
         Optional<EndpointRecord> endpoint = dispatcher.choose(this);
@@ -204,14 +202,14 @@
             endWithRefusal(Refusal.retryable(
                     ErrorCode.OVERLOADED,
                     dispatcher.retryAfterMillis(service()),
-                    "no endpoint of service " + service() + " had capacity in time; "
-                            + dispatcher.queueLength(service()) + " calls queued"));
+                    "no endpoint of " + service() + " had room in time; " + dispatcher.queueLength(service())
+                            + " calls in line"));
         }
     }
 
     private void onDeadline() {
         if (!isDone) {
-            endWithRefusal(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the deadline of the call has passed"));
+            endWithRefusal(Refusal.of(ErrorCode.DEADLINE_EXCEEDED, "the time of the call is over"));
         }
     }
 
--- a/gateway/src/main/java/org/jasminehub/gateway/net/CallerConnection.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/CallerConnection.java
@@ -78,7 +78,7 @@
                 refuse(
                         context,
                         isTooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
-                        isTooLong ? "the request headers are too large" : "the request cannot be parsed");
+                        isTooLong ? "the headers are too large" : "the request cannot be parsed");
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -99,7 +99,7 @@
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > limits.bodyBytes()) {
-            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the request body is too large");
+            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             return;
         }
         head = request;
@@ -112,7 +112,7 @@
 
     private void onBody(ChannelHandlerContext context, HttpContent content) {
         if (body.readableBytes() + content.content().readableBytes() > limits.bodyBytes()) {
-            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the request body is too large");
+            refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             return;
         }
         body.writeBytes(content.content());
--- a/gateway/src/main/java/org/jasminehub/gateway/net/RequestValidator.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/net/RequestValidator.java
@@ -17,27 +17,27 @@
         HttpHeaders headers = request.headers();
         List<String> hosts = headers.getAll(HttpHeaderNames.HOST);
         if (hosts.size() != 1 || hosts.get(0).isBlank()) {
-            return "the request must have exactly one Host header";
+            return "a request needs exactly one host";
         }
         if (!HttpVersion.HTTP_1_1.equals(request.protocolVersion())) {
-            return "the only supported protocol version is HTTP/1.1";
+            return "only HTTP/1.1 is spoken here";
         }
         if (!request.uri().startsWith("/")) {
-            return "the request target must be a path";
+            return "the target must be a path";
         }
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (!encodings.isEmpty() && !lengths.isEmpty()) {
-            return "the request must not have both Content-Length and Transfer-Encoding";
+            return "a body has either a length or chunks";
         }
         if (lengths.size() > 1) {
-            return "the request has more than one Content-Length";
+            return "the length of the body is stated twice";
         }
         boolean isChunked = encodings.size() == 1
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
                         encodings.get(0).trim());
         if (!encodings.isEmpty() && !isChunked) {
-            return "the only supported transfer encoding is chunked";
+            return "the only transfer encoding known here is chunked";
         }
         return null;
     }
