--- a/bench/src/main/java/org/jasminehub/bench/BenchException.java
+++ b/bench/src/main/java/org/jasminehub/bench/BenchException.java
@@ -4,11 +4,11 @@
 import org.jasminehub.core.error.JasminehubException;
 import org.jspecify.annotations.Nullable;
 
-/** A measurement cannot go on, because what it measures failed. */
+/** Thrown when a benchmark cannot continue because the code that it measures failed. */
 public final class BenchException extends JasminehubException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the failure; {@code cause} may be null. */
+    /** Creates an exception with a message and an optional cause. */
     public BenchException(String message, @Nullable Throwable cause) {
         super(ErrorCode.INTERNAL, message, cause);
     }
--- a/bench/src/main/java/org/jasminehub/bench/capacity/CapacityBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/CapacityBench.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /**
- * Prints the slopes from which docs/CAPACITY.md is worked out.
+ * Measures and prints the cost of each unit of state and work, from which docs/CAPACITY.md is calculated.
  *
  * <pre>{@code
  * CapacityBench.run(System.out);
@@ -15,28 +15,28 @@
 public final class CapacityBench {
     private CapacityBench() {}
 
-    /** Runs the bench alone, without the other benches. */
+    /** Runs this benchmark as a program of its own. */
     public static void main(String[] args) {
         run(System.out);
     }
 
-    /** Measures and prints one line for each slope: what, figure, unit. */
+    /** Runs all measurements and prints one line for each result: label, value and unit. */
     public static void run(PrintStream out) {
-        for (Slope slope : MemorySlopes.measure()) {
-            print(out, slope);
+        for (BenchResult result : HeapCosts.measure()) {
+            print(out, result);
         }
-        for (Slope slope : CpuSlopes.measure()) {
-            print(out, slope);
+        for (BenchResult result : CpuCosts.measure()) {
+            print(out, result);
         }
-        for (Slope slope : MessageSizes.measure()) {
-            print(out, slope);
+        for (BenchResult result : MessageSizes.measure()) {
+            print(out, result);
         }
-        for (Slope slope : SubsetBalance.measure()) {
-            print(out, slope);
+        for (BenchResult result : SubsetBalance.measure()) {
+            print(out, result);
         }
     }
 
-    private static void print(PrintStream out, Slope slope) {
-        out.printf(Locale.ROOT, "%-58s %10.2f %s%n", slope.what(), slope.figure(), slope.unit());
+    private static void print(PrintStream out, BenchResult result) {
+        out.printf(Locale.ROOT, "%-58s %10.2f %s%n", result.label(), result.value(), result.unit());
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/capacity/CpuSlopes.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/CpuCosts.java
@@ -32,51 +32,51 @@
 import org.jasminehub.wire.generated.Hello;
 import org.jasminehub.wire.generated.OrderRequest;
 
-/** Processor time of this thread for each repeat of a step. */
-final class CpuSlopes {
-    private static final int SMALL_REPEATS = 200_000;
-    private static final int LARGE_REPEATS = 40;
+/** Measures the CPU time of the current thread per operation. */
+final class CpuCosts {
+    private static final int FAST_OPERATION_REPEATS = 200_000;
+    private static final int SLOW_OPERATION_REPEATS = 40;
     private static final double NANOS_PER_MICRO = 1_000;
     private static final ShardId SHARD = new ShardId("shard-7");
     private static final InstanceId SELF = new InstanceId("entry-instance-1");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private CpuSlopes() {}
+    private CpuCosts() {}
 
-    static List<Slope> measure() {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(heartbeat());
-        slopes.add(listRefresh());
-        slopes.add(subsets());
-        slopes.add(ring());
-        slopes.add(leaseRecord());
-        slopes.add(documentRecord());
-        slopes.add(publishRecord());
-        slopes.add(order());
-        return slopes;
+    static List<BenchResult> measure() {
+        List<BenchResult> results = new ArrayList<>();
+        results.add(heartbeat());
+        results.add(listRefresh());
+        results.add(subsets());
+        results.add(ring());
+        results.add(leaseRecord());
+        results.add(documentRecord());
+        results.add(publishRecord());
+        results.add(order());
+        return results;
     }
 
-    private static Slope slope(String what, int repeats, IntConsumer step) {
-        run(repeats, step);
+    private static BenchResult measureCost(String label, int repeats, IntConsumer operation) {
+        run(repeats, operation);
         long startNanos = THREADS.getCurrentThreadCpuTime();
-        run(repeats, step);
+        run(repeats, operation);
         long nanos = THREADS.getCurrentThreadCpuTime() - startNanos;
-        return new Slope(what, nanos / NANOS_PER_MICRO / repeats, "microseconds");
+        return new BenchResult(label, nanos / NANOS_PER_MICRO / repeats, "microseconds");
     }
 
-    private static void run(int repeats, IntConsumer step) {
+    private static void run(int repeats, IntConsumer operation) {
         for (int i = 0; i < repeats; i++) {
-            step.accept(i);
+            operation.accept(i);
         }
     }
 
-    private static Slope heartbeat() {
+    private static BenchResult heartbeat() {
         MembershipView view = new MembershipView(MembershipSettings.STANDARD, event -> {});
         List<Member> entries = Fleet.entries(8);
         view.onListRead(entries, 0);
         view.watch(entries.stream().map(Member::id).collect(Collectors.toSet()), 0);
         Hello hello = MessageSizes.hello();
-        return slope("CPU for each heartbeat (encode, decode, take)", SMALL_REPEATS, i -> {
+        return measureCost("CPU for each heartbeat (encode, decode, take)", FAST_OPERATION_REPEATS, i -> {
             Hello read = parse(Envelope.newBuilder().setHello(hello).build().toByteArray())
                     .getHello();
             InstanceId id = new InstanceId(read.getInstance());
@@ -84,47 +84,54 @@
         });
     }
 
-    private static Slope listRefresh() {
+    private static BenchResult listRefresh() {
         MembershipView view = new MembershipView(MembershipSettings.STANDARD, event -> {});
         List<Member> all = Fleet.all();
-        return slope("CPU for each refresh of a list of 8,100 (parsed)", LARGE_REPEATS, i -> view.onListRead(all, i));
+        return measureCost(
+                "CPU for each refresh of a list of 8,100 (parsed)",
+                SLOW_OPERATION_REPEATS,
+                i -> view.onListRead(all, i));
     }
 
-    private static Slope subsets() {
-        EndpointSubsetPolicy policy = new EndpointSubsetPolicy(SubsetBalance.COUNT, SubsetBalance.FAR_COUNT);
+    private static BenchResult subsets() {
+        EndpointSubsetPolicy policy = new EndpointSubsetPolicy(SubsetBalance.SUBSET_SIZE, SubsetBalance.FAR_ENDPOINTS);
         List<Member> agents = Fleet.agents(Fleet.AGENTS);
-        return slope(
+        return measureCost(
                 "CPU for each choice of endpoints among 5,800",
-                LARGE_REPEATS,
+                SLOW_OPERATION_REPEATS,
                 i -> policy.choose(new InstanceId("entry-" + i), agents, SubsetBalance.DISTANCE));
     }
 
-    private static Slope ring() {
+    private static BenchResult ring() {
         List<InstanceId> ids =
                 Fleet.entries(Fleet.ENTRIES).stream().map(Member::id).toList();
         HeartbeatRing ring = new HeartbeatRing(8);
-        return slope("CPU for each choice of peers among 2,300", LARGE_REPEATS, i -> ring.watchedBy(ids.get(i), ids));
+        return measureCost(
+                "CPU for each choice of peers among 2,300",
+                SLOW_OPERATION_REPEATS,
+                i -> ring.watchedBy(ids.get(i), ids));
     }
 
-    private static Slope leaseRecord() {
+    private static BenchResult leaseRecord() {
         LeaseRecordCodec codec = new LeaseRecordCodec();
         LeaseTable table = new LeaseTable(0);
-        return slope("CPU for each lease record (decode, apply)", SMALL_REPEATS, i -> {
+        return measureCost("CPU for each lease record (decode, apply)", FAST_OPERATION_REPEATS, i -> {
             byte[] payload = codec.encode(new LeaseRecord(LeaseAction.RENEW, SHARD, SELF, 1, 1, i, i));
             codec.decode(payload).ifPresent(leaseRecord -> table.apply(table.nextOffset(), leaseRecord));
         });
     }
 
-    private static Slope documentRecord() {
+    private static BenchResult documentRecord() {
         DocumentYamlAdapter adapter = new DocumentYamlAdapter();
         List<String> texts = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             texts.add(SampleDocument.yaml(i));
         }
-        return slope("CPU for each document of 10 workspaces (parse)", 2_000, i -> adapter.read(texts.get(i % 100)));
+        return measureCost(
+                "CPU for each document of 10 workspaces (parse)", 2_000, i -> adapter.read(texts.get(i % 100)));
     }
 
-    private static Slope publishRecord() {
+    private static BenchResult publishRecord() {
         HistoryRecordCodec codec = new HistoryRecordCodec();
         HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
         List<OffsetRecord> first = new ArrayList<>();
@@ -133,7 +140,7 @@
             first.add(new OffsetRecord(team, payload));
         }
         replay.applyLogPage(0, first);
-        return slope("CPU for each publish (decode, replay, 730 teams)", 2_000, i -> {
+        return measureCost("CPU for each publish (decode, replay, 730 teams)", 2_000, i -> {
             int team = i % Fleet.TEAMS;
             long base = replay.state().version(new TeamId("team-" + team));
             byte[] payload = codec.encode(SampleDocument.publish(team, base));
@@ -141,11 +148,11 @@
         });
     }
 
-    private static Slope order() {
+    private static BenchResult order() {
         OrderGate gate = new OrderGate(1, event -> {});
         gate.raiseLowestValidNumber(SHARD, 0);
         OrderRequest request = MessageSizes.order();
-        return slope("CPU for each order (encode, decode, admit)", SMALL_REPEATS, i -> {
+        return measureCost("CPU for each order (encode, decode, admit)", FAST_OPERATION_REPEATS, i -> {
             Envelope envelope = parse(MessageSizes.control(request).toByteArray());
             OrderRequest read = envelope.getControlRequest().getOrder();
             gate.admit(new ShardId(read.getShard()), read.getFencingNumber(), 1);
@@ -156,7 +163,7 @@
         try {
             return Envelope.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw new BenchException("a measured step failed", e);
+            throw new BenchException("cannot parse a message that the benchmark encoded itself", e);
         }
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/capacity/Fleet.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/Fleet.java
@@ -10,13 +10,13 @@
 import org.jasminehub.core.membership.MemberState;
 import org.jasminehub.core.membership.Target;
 
-/** Members of a system of the size to design for. */
+/** Creates the members of a system of the size that jasminehub is designed for. */
 final class Fleet {
     static final int ENTRIES = 2_300;
     static final int AGENTS = 5_800;
     static final int FAILURE_DOMAINS = 13;
     static final int MODELS = 4;
-    /** Teams with ten workspaces each. */
+    /** The number of teams; each has ten workspaces. */
     static final int TEAMS = 730;
 
     private Fleet() {}
@@ -38,7 +38,7 @@
         return members;
     }
 
-    /** Returns the whole system, freshly allocated. */
+    /** Returns new objects for all members of the system. */
     static List<Member> all() {
         List<Member> members = entries(ENTRIES);
         members.addAll(agents(AGENTS));
--- a/bench/src/main/java/org/jasminehub/bench/capacity/MessageSizes.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/MessageSizes.java
@@ -22,14 +22,14 @@
 import org.jasminehub.wire.generated.OrderRequest;
 import org.jasminehub.wire.generated.VersionInForce;
 
-/** Bytes of messages and records, without the 4 bytes of the frame's length and the headers of TCP and IP. */
+/** Measures the encoded size of messages and records, without the 4-byte frame length and the TCP and IP headers. */
 final class MessageSizes {
     private static final long INCARNATION = 1_700_000_000_000L;
     private static final long OFFSET = 40_000_000;
 
     private MessageSizes() {}
 
-    static List<Slope> measure() {
+    static List<BenchResult> measure() {
         Envelope greeting = Envelope.newBuilder().setHello(hello()).build();
         Envelope load = Envelope.newBuilder().setEndpointLoad(load()).build();
         VersionInForce version = VersionInForce.newBuilder()
@@ -42,13 +42,13 @@
                 size("bytes of an order (OrderRequest)", control(order())),
                 size("bytes of a team's version in a status", version),
                 size("bytes of the news of one member (MemberReport)", report()),
-                new Slope("bytes of a member in the list's JSON", listBytes(), "bytes"),
-                new Slope(
+                new BenchResult("bytes of a member in the list's JSON", listedMemberBytes(), "bytes"),
+                new BenchResult(
                         "bytes of a publish record of 10 workspaces",
                         new HistoryRecordCodec().encode(SampleDocument.publish(730, OFFSET)).length,
                         "bytes"),
-                new Slope("bytes of a lease record", leaseRecord().length, "bytes"),
-                new Slope(
+                new BenchResult("bytes of a lease record", leaseRecord().length, "bytes"),
+                new BenchResult(
                         "bytes of a document of 10 workspaces (text)",
                         SampleDocument.yaml(730).getBytes(StandardCharsets.UTF_8).length,
                         "bytes"));
@@ -103,12 +103,12 @@
                 .build();
     }
 
-    private static double listBytes() {
+    private static double listedMemberBytes() {
         try {
             List<MemberJson> members = Fleet.all().stream().map(MemberJson::of).toList();
             return new ObjectMapper().writeValueAsBytes(members).length / (double) members.size();
         } catch (JsonProcessingException e) {
-            throw new BenchException("a measured step failed", e);
+            throw new BenchException("cannot encode the member list as JSON", e);
         }
     }
 
@@ -124,7 +124,7 @@
                         Long.MAX_VALUE));
     }
 
-    private static Slope size(String what, MessageLite message) {
-        return new Slope(what, message.getSerializedSize(), "bytes");
+    private static BenchResult size(String label, MessageLite message) {
+        return new BenchResult(label, message.getSerializedSize(), "bytes");
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/capacity/SampleDocument.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/SampleDocument.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 import org.jasminehub.core.history.PublishRecord;
 
-/** A team's document with ten workspaces and three routes. */
+/** Creates the sample document of a team, with ten workspaces and three routes. */
 final class SampleDocument {
     static final int WORKSPACES = 10;
 
--- a/bench/src/main/java/org/jasminehub/bench/capacity/SubsetBalance.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/SubsetBalance.java
@@ -10,27 +10,28 @@
 import org.jasminehub.core.identity.InstanceId;
 import org.jasminehub.core.membership.Member;
 
-/** By how many entry instances each endpoint of one model is watched. */
+/** Measures how evenly the entry instances' endpoint subsets cover the endpoints of one model. */
 final class SubsetBalance {
-    /** Endpoints that an entry instance watches of each model. */
-    static final int COUNT = 16;
+    /** The number of endpoints of each model that an entry instance watches. */
+    static final int SUBSET_SIZE = 16;
 
-    static final int FAR_COUNT = 4;
+    /** How many of them are not among the nearest. */
+    static final int FAR_ENDPOINTS = 4;
 
-    /** One region of 4 domains is near; the others are far. */
+    /** Treats the failure domains of region 0 as near and those of the other regions as far. */
     static final DomainDistance DISTANCE = domain -> isInRegion(domain.value(), 0) ? 0 : 1;
 
     private static final int REGIONS = 4;
 
     private SubsetBalance() {}
 
-    static List<Slope> measure() {
+    static List<BenchResult> measure() {
         List<Member> agents = Fleet.agents(Fleet.AGENTS).stream()
                 .filter(agent -> agent.serves().get(0).name().equals("model-0"))
                 .toList();
         Map<InstanceId, Integer> watchers = new HashMap<>();
         agents.forEach(agent -> watchers.put(agent.id(), 0));
-        EndpointSubsetPolicy policy = new EndpointSubsetPolicy(COUNT, FAR_COUNT);
+        EndpointSubsetPolicy policy = new EndpointSubsetPolicy(SUBSET_SIZE, FAR_ENDPOINTS);
         for (Member entry : Fleet.entries(Fleet.ENTRIES)) {
             int region = region(entry.failureDomain().value());
             policy.choose(entry.id(), agents, domain -> isInRegion(domain.value(), region) ? 0 : 1)
@@ -40,15 +41,15 @@
         Collections.sort(counts);
         double mean = counts.stream().mapToInt(Integer::intValue).average().orElse(0);
         return List.of(
-                new Slope("watchers of an endpoint, mean", mean, "entry instances"),
-                new Slope("watchers of an endpoint, least", counts.get(0), "entry instances"),
-                new Slope(
+                new BenchResult("watchers of an endpoint, mean", mean, "entry instances"),
+                new BenchResult("watchers of an endpoint, least", counts.get(0), "entry instances"),
+                new BenchResult(
                         "watchers of an endpoint, 1st percentile", counts.get(counts.size() / 100), "entry instances"),
-                new Slope(
+                new BenchResult(
                         "watchers of an endpoint, 99th percentile",
                         counts.get(counts.size() * 99 / 100),
                         "entry instances"),
-                new Slope("watchers of an endpoint, most", counts.get(counts.size() - 1), "entry instances"));
+                new BenchResult("watchers of an endpoint, most", counts.get(counts.size() - 1), "entry instances"));
     }
 
     private static boolean isInRegion(String domain, int region) {
--- a/bench/src/main/java/org/jasminehub/bench/capacity/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/capacity/package-info.java
@@ -1,4 +1,4 @@
-/** Measures what members, documents, messages and records cost, for docs/CAPACITY.md. */
+/** Measures the memory, processor time and bytes per member, document, message and record, for docs/CAPACITY.md. */
 @NullMarked
 package org.jasminehub.bench.capacity;
 
--- a/bench/src/main/java/org/jasminehub/bench/documents/MeasuredSteps.java
+++ b/bench/src/main/java/org/jasminehub/bench/documents/DocumentCosts.java
@@ -13,38 +13,38 @@
 import org.jasminehub.wire.generated.RecordsRequest;
 
 /**
- * What one record, document, poll and snapshot cost on this machine.
+ * The measured cost of one record, document, poll and snapshot on this machine.
  *
- * @param recordBytes the bytes of a publish in the log
- * @param decideMicros processor time to read and decide on a publish
- * @param documentBytes memory of one document in force, with its text and its parsed form
- * @param emptyPollBytes bytes of a poll that finds nothing new, both ways
- * @param snapshotBytes bytes of a snapshot of all teams, in all its parts
+ * @param recordBytes the size of a publish record in the log
+ * @param replayMicros the time in which one thread decodes and applies a publish record
+ * @param documentBytes the heap of one document in force, both as text and parsed
+ * @param emptyPollBytes the size of the request and the reply of a poll that finds no new records
+ * @param snapshotBytes the size of a snapshot of all teams, summed over its parts
  */
-record MeasuredSteps(
-        double recordBytes, double decideMicros, double documentBytes, double emptyPollBytes, double snapshotBytes) {
+record DocumentCosts(
+        double recordBytes, double replayMicros, double documentBytes, double emptyPollBytes, double snapshotBytes) {
     private static final int WARM_UP_ROUNDS = 4;
     private static final int MAX_PART_CHARACTERS = 64 * 1024;
-    private static final int COLLECTIONS = 4;
+    private static final int GC_RUNS = 4;
     private static final double NANOS_PER_MICRO = 1_000;
 
-    /** Measures with documents of {@code teams}. */
-    static MeasuredSteps measure(int teams) {
-        List<OffsetRecord> first = SampleHistory.records(teams, 1);
-        double recordBytes = first.stream()
+    /** Measures the costs with one document for each of {@code teams} teams. */
+    static DocumentCosts measure(int teams) {
+        List<OffsetRecord> firstPublishes = SampleHistory.records(teams, 1);
+        double recordBytes = firstPublishes.stream()
                 .mapToInt(record -> record.payload().length)
                 .average()
                 .orElse(0);
-        double decideMicros = measureDecideMicros(SampleHistory.records(teams, WARM_UP_ROUNDS + 1), teams);
+        double replayMicros = measureReplayMicros(SampleHistory.records(teams, WARM_UP_ROUNDS + 1), teams);
         long usedBefore = usedBytes();
         HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
-        replay.applyLogPage(0, first);
+        replay.applyLogPage(0, firstPublishes);
         double documentBytes = (double) (usedBytes() - usedBefore) / teams;
-        return new MeasuredSteps(
-                recordBytes, decideMicros, documentBytes, measurePollBytes(), measureSnapshotBytes(replay));
+        return new DocumentCosts(
+                recordBytes, replayMicros, documentBytes, measurePollBytes(), measureSnapshotBytes(replay));
     }
 
-    private static double measureDecideMicros(List<OffsetRecord> records, int teams) {
+    private static double measureReplayMicros(List<OffsetRecord> records, int teams) {
         HistoryReplay replay = new HistoryReplay(new DocumentYamlAdapter());
         int warmUp = WARM_UP_ROUNDS * teams;
         replay.applyLogPage(0, records.subList(0, warmUp));
@@ -73,7 +73,7 @@
     }
 
     private static long usedBytes() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/bench/src/main/java/org/jasminehub/bench/documents/SampleHistory.java
+++ b/bench/src/main/java/org/jasminehub/bench/documents/SampleHistory.java
@@ -7,14 +7,14 @@
 import org.jasminehub.core.history.OffsetRecord;
 import org.jasminehub.core.history.PublishRecord;
 
-/** Records of many teams' documents, each with ten workspaces and five routes. */
+/** Creates publish records of many teams, each document with ten workspaces and five routes. */
 final class SampleHistory {
     private static final int WORKSPACES = 10;
     private static final int ROUTES = 5;
 
     private SampleHistory() {}
 
-    /** Returns {@code rounds} publishes of each of {@code teams}, each on top of the one before. */
+    /** Returns {@code rounds} publishes for each of {@code teams} teams; each is based on the team's previous version. */
     static List<OffsetRecord> records(int teams, int rounds) {
         HistoryRecordCodec codec = new HistoryRecordCodec();
         List<OffsetRecord> records = new ArrayList<>();
--- a/bench/src/main/java/org/jasminehub/bench/documents/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/documents/package-info.java
@@ -1,4 +1,4 @@
-/** Measures what documents cost and works out how fast changes spread. */
+/** Measures the cost of documents and calculates how fast a change reaches all instances. */
 @NullMarked
 package org.jasminehub.bench.documents;
 
--- a/bench/src/main/java/org/jasminehub/bench/experts/ExpertsBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/experts/ExpertsBench.java
@@ -28,9 +28,9 @@
 
     private ExpertsBench() {}
 
-    /** Runs everything and prints it; takes about a minute on one core. */
+    /** Runs all measurements and prints the tables; takes about a minute on one core. */
     public static void run(PrintStream out) {
-        planningTime(out);
+        printPlanningTimes(out);
         out.printf(
                 Locale.ROOT,
                 "%n%-10s %5s %5s %-12s %8s %8s %9s %9s %8s %11s%n",
@@ -57,10 +57,10 @@
     private static void compare(PrintStream out, Scenario scenario, int ranks, int slots) {
         Strategy none = (map, estimate, maxMoves) -> map;
         Strategy repack = (map, estimate, maxMoves) -> FullRepack.pack(map, estimate);
-        double idle = report(out, scenario, ranks, slots, "none", none, 0);
-        report(out, scenario, ranks, slots, "full re-pack", repack, idle);
-        report(out, scenario, ranks, slots, "skew first", planner(SKEW_FIRST), idle);
-        report(out, scenario, ranks, slots, "moves first", planner(MOVES_FIRST), idle);
+        double baselineLostMillis = report(out, scenario, ranks, slots, "none", none, 0);
+        report(out, scenario, ranks, slots, "full re-pack", repack, baselineLostMillis);
+        report(out, scenario, ranks, slots, "skew first", planner(SKEW_FIRST), baselineLostMillis);
+        report(out, scenario, ranks, slots, "moves first", planner(MOVES_FIRST), baselineLostMillis);
     }
 
     private static Strategy planner(ExpertRule rule) {
@@ -79,10 +79,11 @@
             int slots,
             String name,
             Strategy strategy,
-            double idleLostMillis) {
-        LoadScript script = new LoadScript(scenario, ranks, EXPERTS, LAYERS, EPOCHS, SEED);
-        Simulation result = Simulation.run(script, ExpertMap.striped(ranks, slots, EXPERTS, LAYERS), strategy, EPOCHS);
-        double share = idleLostMillis == 0 ? 0 : 100 * (idleLostMillis - result.lostMillis()) / idleLostMillis;
+            double baselineLostMillis) {
+        LoadGenerator loads = new LoadGenerator(scenario, ranks, EXPERTS, LAYERS, EPOCHS, SEED);
+        Simulation result = Simulation.run(loads, ExpertMap.striped(ranks, slots, EXPERTS, LAYERS), strategy, EPOCHS);
+        double gainPercent =
+                baselineLostMillis == 0 ? 0 : 100 * (baselineLostMillis - result.lostMillis()) / baselineLostMillis;
         out.printf(
                 Locale.ROOT,
                 "%-10s %5d %5d %-12s %8.3f %8.3f %9.1f %9d %8d %11s%n",
@@ -97,11 +98,11 @@
                 result.lateSteps(),
                 result.movedGigabytes() == 0
                         ? "-"
-                        : String.format(Locale.ROOT, "%.3f", share / result.movedGigabytes()));
+                        : String.format(Locale.ROOT, "%.3f", gainPercent / result.movedGigabytes()));
         return result.lostMillis();
     }
 
-    private static void planningTime(PrintStream out) {
+    private static void printPlanningTimes(PrintStream out) {
         out.printf(
                 Locale.ROOT,
                 "target: a plan for 64 ranks, 64 experts, 60 layers in under %.0f ms%n",
@@ -118,18 +119,18 @@
         int[][] sizes = {{8, 64, 15}, {8, 64, 60}, {16, 64, 60}, {32, 64, 60}, {64, 64, 15}, {64, 64, 60}, {64, 128, 60}
         };
         for (int[] size : sizes) {
-            time(out, size[0], size[1], size[2]);
+            printPlanningTime(out, size[0], size[1], size[2]);
         }
     }
 
-    private static void time(PrintStream out, int ranks, int experts, int layers) {
+    private static void printPlanningTime(PrintStream out, int ranks, int experts, int layers) {
         int warmUps = 10;
         int runs = 21;
         double[] millis = new double[runs];
         int moves = 0;
         for (int run = -warmUps; run < runs; run++) {
-            LoadScript script = new LoadScript(Scenario.BURST, ranks, experts, layers, EPOCHS, SEED + run);
-            GroupLoad load = script.next();
+            LoadGenerator loads = new LoadGenerator(Scenario.BURST, ranks, experts, layers, EPOCHS, SEED + run);
+            GroupLoad load = loads.next();
             ExpertMap map = ExpertMap.striped(ranks, experts / ranks + 1, experts, layers);
             long startNanos = System.nanoTime();
             moves = MapPlanner.plan(map, load, SKEW_FIRST, limits(Integer.MAX_VALUE))
--- a/bench/src/main/java/org/jasminehub/bench/experts/Scenario.java
+++ b/bench/src/main/java/org/jasminehub/bench/experts/Scenario.java
@@ -1,11 +1,11 @@
 package org.jasminehub.bench.experts;
 
-/** What happens to a group's load. */
+/** How the load of a group changes during a run. */
 enum Scenario {
-    /** Popularity changes slowly. */
+    /** The experts' popularity changes slowly. */
     DRIFT,
-    /** Two experts of each layer become several times as popular for a while. */
+    /** Two experts of each layer are several times as popular in the middle half of the run. */
     BURST,
-    /** A rank runs at a fraction of its speed for a while. */
+    /** One rank runs at a fraction of its speed in the middle half of the run. */
     STRAGGLER
 }
--- a/bench/src/main/java/org/jasminehub/bench/experts/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/experts/package-info.java
@@ -1,4 +1,4 @@
-/** Measures what moving experts gains and costs. */
+/** Measures the gain and the cost of moving experts between ranks. */
 @NullMarked
 package org.jasminehub.bench.experts;
 
--- a/bench/src/main/java/org/jasminehub/bench/operation/OperationBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/operation/OperationBench.java
@@ -17,7 +17,8 @@
 import org.jasminehub.core.time.ManualClock;
 
 /**
- * Compares a claim on the log for each operation with a home for each key, and measures a home.
+ * Compares two ways to run operations at most once: a claim record in the log for each operation, and a home agent for
+ * each key. Also measures the time and memory that a home agent needs per operation.
  *
  * <pre>{@code
  * OperationBench.run(System.out, new String[0]);
@@ -39,7 +40,7 @@
 
     private OperationBench() {}
 
-    /** Prints both tables to {@code out}; {@code args} are not used. */
+    /** Runs the measurements and prints the results to {@code out}; {@code args} is ignored. */
     public static void run(PrintStream out, String[] args) {
         out.println("Target: well under 300 appends/s for everyone, 4 KB/s of control per node.");
         out.println("| way | share of operations | wait for a batch | appends/s | read by each instance |");
@@ -54,11 +55,11 @@
     }
 
     private static void printClaims(PrintStream out, double share, int waitMillis) {
-        double perInstance = REQUESTS_PER_SECOND * share / ENTRY_INSTANCES;
+        double operationsPerSecond = REQUESTS_PER_SECOND * share / ENTRY_INSTANCES;
         Random random = new Random(7);
         long batches = 0;
         for (int instance = 0; instance < ENTRY_INSTANCES; instance++) {
-            batches += countBatches(random, perInstance, waitMillis);
+            batches += countBatches(random, operationsPerSecond, waitMillis);
         }
         double readKilobytes = REQUESTS_PER_SECOND * share * CLAIM_BYTES / BYTES_PER_KILOBYTE;
         out.printf(
@@ -66,22 +67,22 @@
                 share * 100, waitMillis, (double) batches / SIMULATED_SECONDS, readKilobytes);
     }
 
-    private static long countBatches(Random random, double perSecond, int waitMillis) {
+    private static long countBatches(Random random, double operationsPerSecond, int waitMillis) {
         long batches = 0;
-        double batchEndsAt = 0;
-        double now = nextArrival(random, perSecond);
-        while (now < SIMULATED_SECONDS) {
-            if (now >= batchEndsAt) {
+        double batchEndSeconds = 0;
+        double nowSeconds = drawIntervalSeconds(random, operationsPerSecond);
+        while (nowSeconds < SIMULATED_SECONDS) {
+            if (nowSeconds >= batchEndSeconds) {
                 batches++;
-                batchEndsAt = now + waitMillis / 1000.0;
+                batchEndSeconds = nowSeconds + waitMillis / 1000.0;
             }
-            now += nextArrival(random, perSecond);
+            nowSeconds += drawIntervalSeconds(random, operationsPerSecond);
         }
         return batches;
     }
 
-    private static double nextArrival(Random random, double perSecond) {
-        return -Math.log(1 - random.nextDouble()) / perSecond;
+    private static double drawIntervalSeconds(Random random, double operationsPerSecond) {
+        return -Math.log(1 - random.nextDouble()) / operationsPerSecond;
     }
 
     private static void printHomes(PrintStream out) {
@@ -94,9 +95,9 @@
     private static void measureHome(PrintStream out) {
         ManualClock clock = new ManualClock(0);
         AgentIncarnation self = new AgentIncarnation(new InstanceId("bookings-1"), 1);
-        OperationTimes times = OperationTimes.of(600_000, 300_000, 60_000, 5_000);
+        OperationTimes operationTimes = OperationTimes.of(600_000, 300_000, 60_000, 5_000);
         LedgerLimits limits = new LedgerLimits(OPERATIONS, 1, RESULT_BYTES, OPERATIONS * (long) RESULT_BYTES, 1);
-        AtMostOnceGuard guard = new AtMostOnceGuard(self, "bookings", times, limits, clock, event -> {});
+        AtMostOnceGuard guard = new AtMostOnceGuard(self, "bookings", operationTimes, limits, clock, event -> {});
         guard.learn(new HomeTable("bookings", 1, List.of(self)));
         guard.confirm(1, 0);
         List<OperationId> ids = new ArrayList<>();
@@ -111,7 +112,7 @@
         out.printf(
                 "A home: %.2f us for ticket, start and finish; %.0f B remembered with a result of %d B.%n",
                 microsEach, bytesEach, RESULT_BYTES);
-        // Keeps the memory reachable until it has been measured.
+        // Uses the guard after the measurement, so that it stays reachable until its memory has been measured.
         out.printf("Old homes to ask: %d%n", guard.missingHandovers().size());
     }
 
@@ -129,7 +130,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Runs the bench alone. */
+    /** Runs this benchmark as a program of its own. */
     public static void main(String[] args) {
         run(System.out, args);
     }
--- a/bench/src/main/java/org/jasminehub/bench/operation/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/operation/package-info.java
@@ -1,4 +1,4 @@
-/** Measurements of running operations at most once. */
+/** Measures the cost of running operations at most once. */
 @NullMarked
 package org.jasminehub.bench.operation;
 
--- a/bench/src/main/java/org/jasminehub/bench/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Measurement commands, a package each. */
+/** Benchmarks of the load balancer; each subpackage holds one {@code bench} command. */
 @NullMarked
 package org.jasminehub.bench;
 
--- a/bench/src/main/java/org/jasminehub/bench/routing/Call.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Call.java
@@ -7,7 +7,7 @@
 import org.jasminehub.core.identity.WorkspaceId;
 import org.jasminehub.core.routing.PromptPrefix;
 
-/** One caller's request and what became of it. */
+/** A request of a caller, with its attempts and its result. */
 final class Call {
     final long id;
     final WorkspaceId workspace;
--- a/bench/src/main/java/org/jasminehub/bench/routing/Deployment.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Deployment.java
@@ -4,11 +4,11 @@
 import org.jasminehub.core.document.Priority;
 
 /**
- * The size and the requests of one deployment.
+ * The size and the kinds of requests of one deployment.
  *
- * @param name its name
+ * @param name the name shown in the table headings
  * @param callerMillis the one-way delay between callers and entry instances
- * @param shapes its kinds of requests
+ * @param shapes the kinds of requests
  */
 record Deployment(String name, double callerMillis, List<RequestShape> shapes) {
     static final int ENDPOINTS = 12;
@@ -16,12 +16,12 @@
     static final int DOMAINS = 3;
     static final int WORKSPACES = 10;
     static final int LARGE_WORKSPACES = 3;
-    static final double ACROSS_DOMAINS_MILLIS = 1.5;
+    static final double CROSS_DOMAIN_DELAY_MILLIS = 1.5;
 
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double FULL_PERCENT = 100;
 
-    /** Caption drafts, briefs and pitches. */
+    /** Returns a deployment with requests for caption drafts, briefs and pitches. */
     static Deployment campaigns() {
         return new Deployment(
                 "campaigns",
@@ -32,7 +32,7 @@
                         new RequestShape(10, Priority.BATCH, 1200, 600, 500, 60_000)));
     }
 
-    /** Questions about tides, and longer ones about herds. */
+    /** Returns a deployment with short questions about tides and longer ones about herds. */
     static Deployment pastures() {
         return new Deployment(
                 "pastures",
@@ -42,7 +42,7 @@
                         new RequestShape(15, Priority.NORMAL, 900, 300, 250, 20_000)));
     }
 
-    /** Returns how many requests a second the endpoints finish with full batches and no prefix hits. */
+    /** Returns the requests per second that all endpoints finish with full batches and no prefix cache hits. */
     double capacityPerSecond() {
         double millisPerRequest = 0;
         for (RequestShape shape : shapes) {
--- a/bench/src/main/java/org/jasminehub/bench/routing/FakeAgent.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/FakeAgent.java
@@ -13,39 +13,52 @@
 import org.jasminehub.core.identity.FailureDomain;
 import org.jasminehub.core.routing.LoadReport;
 
-/** An agent with the real admission before a fake engine. */
+/** An agent that combines the real {@link AdmissionController} with a fake engine. */
 final class FakeAgent {
-    private static final double REVIEW_MILLIS = 50;
+    private static final double SPEED_UPDATE_INTERVAL_MILLIS = 50;
     private static final AdmissionSettings UNBOUNDED = new AdmissionSettings(Long.MAX_VALUE / 4, 0, 30_000);
     private static final long NO_DEADLINE_MILLIS = Long.MAX_VALUE / 4;
 
-    private final Schedule schedule;
+    private final EventScheduler scheduler;
     private final EndpointId id;
     private final FailureDomain failureDomain;
-    private final boolean admits;
+    private final boolean hasAdmissionControl;
     private final FakeEngine engine;
     private final AdmissionController admission;
-    private final Map<Long, Waiting> calls = new HashMap<>();
+    private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
 
-    private record Waiting(Call call, Listener listener) {}
+    private record PendingCall(Call call, Listener listener) {}
 
-    /** Learns how a call ended. */
+    /** Is notified when a call has ended. */
     interface Listener {
-        void finished(Call call);
+        void onFinished(Call call);
 
-        void refused(Call call, AdmissionOutcome.Refused refused);
+        void onRefused(Call call, AdmissionOutcome.Refused refused);
     }
 
-    /** Creates an agent; without {@code admits} it queues everything in the order of arrival by workspace. */
-    FakeAgent(Schedule schedule, EndpointId id, FailureDomain failureDomain, boolean admits, Histogram gapMicros) {
-        this.schedule = schedule;
+    /**
+     * Creates an agent.
+     *
+     * @param hasAdmissionControl whether the queue is bounded and deadlines are enforced; otherwise every call is queued,
+     *     in order of arrival within its workspace
+     */
+    FakeAgent(
+            EventScheduler scheduler,
+            EndpointId id,
+            FailureDomain failureDomain,
+            boolean hasAdmissionControl,
+            Histogram gapMicros) {
+        this.scheduler = scheduler;
         this.id = id;
         this.failureDomain = failureDomain;
-        this.admits = admits;
-        this.engine = new FakeEngine(schedule, gapMicros, this::finished);
+        this.hasAdmissionControl = hasAdmissionControl;
+        this.engine = new FakeEngine(scheduler, gapMicros, this::onFinished);
         this.admission = new AdmissionController(
-                schedule.clock(), admits ? AdmissionSettings.defaults() : UNBOUNDED, speed(), event -> {});
-        schedule.after(REVIEW_MILLIS, this::review);
+                scheduler.clock(),
+                hasAdmissionControl ? AdmissionSettings.defaults() : UNBOUNDED,
+                speed(),
+                event -> {});
+        scheduler.schedule(SPEED_UPDATE_INTERVAL_MILLIS, this::updateSpeed);
     }
 
     EndpointId id() {
@@ -58,7 +71,7 @@
 
     void setSlowFactor(double factor) {
         engine.setSlowFactor(factor);
-        act(admission.speedChanged(speed()));
+        apply(admission.speedChanged(speed()));
     }
 
     LoadReport report() {
@@ -72,9 +85,10 @@
     }
 
     void offer(Call call, Listener listener) {
-        calls.put(call.id, new Waiting(call, listener));
-        long deadlineMillis = admits ? (long) call.arrivedMillis + call.shape.deadlineMillis() : NO_DEADLINE_MILLIS;
-        act(admission.offer(new AdmissionRequest(
+        pendingCalls.put(call.id, new PendingCall(call, listener));
+        long deadlineMillis =
+                hasAdmissionControl ? (long) call.arrivedMillis + call.shape.deadlineMillis() : NO_DEADLINE_MILLIS;
+        apply(admission.offer(new AdmissionRequest(
                 call.id,
                 call.workspace,
                 1,
@@ -84,30 +98,30 @@
                 deadlineMillis)));
     }
 
-    private void finished(Call call) {
-        Waiting waiting = calls.remove(call.id);
-        if (waiting != null) {
-            waiting.listener().finished(call);
+    private void onFinished(Call call) {
+        PendingCall pending = pendingCalls.remove(call.id);
+        if (pending != null) {
+            pending.listener().onFinished(call);
         }
-        act(admission.finished(call.id, call.answerTokens));
+        apply(admission.finished(call.id, call.answerTokens));
     }
 
-    private void review() {
-        act(admission.speedChanged(speed()));
-        schedule.after(REVIEW_MILLIS, this::review);
+    private void updateSpeed() {
+        apply(admission.speedChanged(speed()));
+        scheduler.schedule(SPEED_UPDATE_INTERVAL_MILLIS, this::updateSpeed);
     }
 
-    private void act(List<AdmissionOutcome> outcomes) {
+    private void apply(List<AdmissionOutcome> outcomes) {
         for (AdmissionOutcome outcome : outcomes) {
             if (outcome instanceof AdmissionOutcome.Started) {
-                Waiting waiting = calls.get(outcome.request().key());
-                if (waiting != null) {
-                    engine.start(waiting.call());
+                PendingCall pending = pendingCalls.get(outcome.request().key());
+                if (pending != null) {
+                    engine.start(pending.call());
                 }
             } else if (outcome instanceof AdmissionOutcome.Refused refused) {
-                Waiting waiting = calls.remove(outcome.request().key());
-                if (waiting != null) {
-                    waiting.listener().refused(waiting.call(), refused);
+                PendingCall pending = pendingCalls.remove(outcome.request().key());
+                if (pending != null) {
+                    pending.listener().onRefused(pending.call(), refused);
                 }
             }
         }
--- a/bench/src/main/java/org/jasminehub/bench/routing/FakeEngine.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/FakeEngine.java
@@ -9,22 +9,22 @@
 import org.HdrHistogram.Histogram;
 import org.jasminehub.core.routing.PromptPrefix;
 
-/** A fake of an engine with continuous batching, chunked reading of prompts and a bounded prefix cache. */
+/** A fake engine with continuous batching, chunked prefill and a bounded prefix cache. */
 final class FakeEngine {
     static final int CAPACITY_REQUESTS = 32;
     static final double BASE_STEP_MILLIS = 16;
     static final double STEP_MILLIS_PER_REQUEST = 0.2;
     static final double PREFILL_MILLIS_PER_TOKEN = 0.02;
 
-    private static final long CHUNK_TOKENS = 320;
-    private static final long CACHE_TOKENS = 40_000;
-    private static final double STEP_GAIN = 0.1;
+    private static final long MAX_PREFILL_TOKENS_PER_STEP = 320;
+    private static final long CACHE_CAPACITY_TOKENS = 40_000;
+    private static final double STEP_SMOOTHING_FACTOR = 0.1;
     private static final double MILLIS_PER_SECOND = 1000;
     private static final int MICROS_PER_MILLI = 1000;
 
-    private final Schedule schedule;
+    private final EventScheduler scheduler;
     private final Histogram gapMicros;
-    private final Consumer<Call> finished;
+    private final Consumer<Call> onFinished;
     private final List<Sequence> sequences = new ArrayList<>();
     private final Map<Long, Long> cache = new LinkedHashMap<>();
     private boolean stepping;
@@ -45,10 +45,10 @@
         }
     }
 
-    FakeEngine(Schedule schedule, Histogram gapMicros, Consumer<Call> finished) {
-        this.schedule = schedule;
+    FakeEngine(EventScheduler scheduler, Histogram gapMicros, Consumer<Call> onFinished) {
+        this.scheduler = scheduler;
         this.gapMicros = gapMicros;
-        this.finished = finished;
+        this.onFinished = onFinished;
     }
 
     void setSlowFactor(double factor) {
@@ -65,14 +65,15 @@
     }
 
     void start(Call call) {
-        call.hitTokens = lookUp(call.prefix);
+        call.hitTokens = lookUpPrefix(call.prefix);
         sequences.add(new Sequence(call, call.shape.promptTokens() - call.hitTokens));
         if (!stepping) {
             step();
         }
     }
 
-    private long lookUp(PromptPrefix prefix) {
+    /** Returns the number of cached prompt tokens, adds the prefix to the cache and evicts least recently used blocks. */
+    private long lookUpPrefix(PromptPrefix prefix) {
         long hitTokens = 0;
         for (PromptPrefix.Block block : prefix.blocks()) {
             Long tokens = cache.remove(block.hash());
@@ -80,10 +81,10 @@
             cachedTokens += tokens == null ? block.tokens() : 0;
             cache.put(block.hash(), block.tokens());
         }
-        Iterator<Long> oldest = cache.values().iterator();
-        while (cachedTokens > CACHE_TOKENS) {
-            cachedTokens -= oldest.next();
-            oldest.remove();
+        Iterator<Long> oldestFirst = cache.values().iterator();
+        while (cachedTokens > CACHE_CAPACITY_TOKENS) {
+            cachedTokens -= oldestFirst.next();
+            oldestFirst.remove();
         }
         return hitTokens;
     }
@@ -93,37 +94,37 @@
         if (!stepping) {
             return;
         }
-        long chunkLeft = CHUNK_TOKENS;
+        long prefillTokensLeft = MAX_PREFILL_TOKENS_PER_STEP;
         for (Sequence sequence : sequences) {
-            long read = Math.min(chunkLeft, sequence.promptTokensLeft);
-            sequence.promptTokensLeft -= read;
-            chunkLeft -= read;
+            long prefillTokens = Math.min(prefillTokensLeft, sequence.promptTokensLeft);
+            sequence.promptTokensLeft -= prefillTokens;
+            prefillTokensLeft -= prefillTokens;
         }
         double millis = slowFactor
                 * (BASE_STEP_MILLIS
                         + STEP_MILLIS_PER_REQUEST * sequences.size()
-                        + PREFILL_MILLIS_PER_TOKEN * (CHUNK_TOKENS - chunkLeft));
-        stepMillis += STEP_GAIN * (millis - stepMillis);
-        schedule.after(millis, this::endStep);
+                        + PREFILL_MILLIS_PER_TOKEN * (MAX_PREFILL_TOKENS_PER_STEP - prefillTokensLeft));
+        stepMillis += STEP_SMOOTHING_FACTOR * (millis - stepMillis);
+        scheduler.schedule(millis, this::endStep);
     }
 
     private void endStep() {
-        List<Sequence> ended = new ArrayList<>();
+        List<Sequence> finishedSequences = new ArrayList<>();
         for (Sequence sequence : sequences) {
             if (sequence.promptTokensLeft == 0) {
                 emitToken(sequence);
             }
             if (sequence.answerTokensLeft == 0) {
-                ended.add(sequence);
+                finishedSequences.add(sequence);
             }
         }
-        sequences.removeAll(ended);
-        ended.forEach(sequence -> finished.accept(sequence.call));
+        sequences.removeAll(finishedSequences);
+        finishedSequences.forEach(sequence -> onFinished.accept(sequence.call));
         step();
     }
 
     private void emitToken(Sequence sequence) {
-        double nowMillis = schedule.nowMillis();
+        double nowMillis = scheduler.nowMillis();
         if (sequence.lastTokenMillis < 0) {
             sequence.call.firstTokenMillis = nowMillis;
         } else {
--- a/bench/src/main/java/org/jasminehub/bench/routing/FakeEntry.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/FakeEntry.java
@@ -22,36 +22,36 @@
 import org.jasminehub.core.routing.RoutingRequest;
 import org.jasminehub.core.routing.WorkCost;
 
-/** An entry instance with the real policy, tracker, hints and retries before fake agents. */
+/** An entry instance that combines the real endpoint policy, tracker, prefix hints and retry policy with fake agents. */
 final class FakeEntry {
     private static final double HINT_HALF_LIFE_MILLIS = 30_000;
     private static final int MAX_HINTS = 512;
     private static final int RETRY_RESERVE = 10;
     private static final RetryRule RETRY = new RetryRule(3, 10);
 
-    private final Schedule schedule;
+    private final EventScheduler scheduler;
     private final FailureDomain failureDomain;
     private final EndpointPolicy policy;
     private final List<FakeAgent> agents;
     private final EndpointTracker tracker;
     private final PrefixHints hints;
-    private final NetworkDistance distance = NetworkDistance.uniform(Deployment.ACROSS_DOMAINS_MILLIS);
+    private final NetworkDistance distance = NetworkDistance.uniform(Deployment.CROSS_DOMAIN_DELAY_MILLIS);
     private final RetryPolicy retries = new RetryPolicy(new RetryBudgets(RETRY_RESERVE, 100));
 
-    FakeEntry(Schedule schedule, FailureDomain failureDomain, EndpointPolicy policy, List<FakeAgent> agents) {
-        this.schedule = schedule;
+    FakeEntry(EventScheduler scheduler, FailureDomain failureDomain, EndpointPolicy policy, List<FakeAgent> agents) {
+        this.scheduler = scheduler;
         this.failureDomain = failureDomain;
         this.policy = policy;
         this.agents = agents;
-        this.tracker = new EndpointTracker(schedule.clock());
-        this.hints = new PrefixHints(schedule.clock(), HINT_HALF_LIFE_MILLIS, MAX_HINTS);
+        this.tracker = new EndpointTracker(scheduler.clock());
+        this.hints = new PrefixHints(scheduler.clock(), HINT_HALF_LIFE_MILLIS, MAX_HINTS);
     }
 
     EndpointTracker tracker() {
         return tracker;
     }
 
-    void take(Call call) {
+    void accept(Call call) {
         retries.recordFirstAttempt(subject(call));
         send(call);
     }
@@ -73,34 +73,34 @@
             return;
         }
         FakeAgent agent = agents.stream()
-                .filter(one -> one.id().equals(choice.get().endpoint()))
+                .filter(candidate -> candidate.id().equals(choice.get().endpoint()))
                 .findFirst()
                 .orElseThrow();
         call.attempts++;
         call.tried.add(agent.id());
         call.estimateMillis = choice.get().estimateMillis();
-        call.sentMillis = schedule.nowMillis();
+        call.sentMillis = scheduler.nowMillis();
         hints.recordPrompt(agent.id(), call.prefix);
         long workTokens = WorkCost.tokens(call.shape.promptTokens(), call.shape.maxAnswerTokens() / 2);
         tracker.recordSent(agent.id(), workTokens);
-        double wayMillis = distance.oneWayMillis(failureDomain, agent.failureDomain());
-        schedule.after(wayMillis, () -> agent.offer(call, new Answers(agent, wayMillis)));
+        double oneWayDelayMillis = distance.oneWayMillis(failureDomain, agent.failureDomain());
+        scheduler.schedule(oneWayDelayMillis, () -> agent.offer(call, new AttemptListener(agent, oneWayDelayMillis)));
     }
 
-    private final class Answers implements FakeAgent.Listener {
+    private final class AttemptListener implements FakeAgent.Listener {
         private final FakeAgent agent;
-        private final double wayMillis;
+        private final double oneWayDelayMillis;
 
-        private Answers(FakeAgent agent, double wayMillis) {
+        private AttemptListener(FakeAgent agent, double oneWayDelayMillis) {
             this.agent = agent;
-            this.wayMillis = wayMillis;
+            this.oneWayDelayMillis = oneWayDelayMillis;
         }
 
         @Override
-        public void finished(Call call) {
-            call.endMillis = schedule.nowMillis() + wayMillis;
-            double observedMillis = call.firstTokenMillis + wayMillis - call.sentMillis;
-            schedule.after(wayMillis, () -> {
+        public void onFinished(Call call) {
+            call.endMillis = scheduler.nowMillis() + oneWayDelayMillis;
+            double observedMillis = call.firstTokenMillis + oneWayDelayMillis - call.sentMillis;
+            scheduler.schedule(oneWayDelayMillis, () -> {
                 tracker.recordFinished(agent.id());
                 tracker.recordFirstToken(agent.id(), call.estimateMillis, observedMillis);
                 hints.recordHit(agent.id(), call.prefix, call.shape.prefixTokens(), call.hitTokens);
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public void refused(Call call, AdmissionOutcome.Refused refused) {
-            schedule.after(wayMillis, () -> {
+        public void onRefused(Call call, AdmissionOutcome.Refused refused) {
+            scheduler.schedule(oneWayDelayMillis, () -> {
                 tracker.recordFinished(agent.id());
                 RetryDecision decision = retries.decide(new FailedAttempt(
                         subject(call), call.attempts, refused.code(), Outcome.NOT_RUN, remainingMillis(call), 0));
@@ -121,7 +121,7 @@
     }
 
     private long remainingMillis(Call call) {
-        return (long) (call.arrivedMillis + call.shape.deadlineMillis() - schedule.nowMillis());
+        return (long) (call.arrivedMillis + call.shape.deadlineMillis() - scheduler.nowMillis());
     }
 
     private static FailedAttempt.Subject subject(Call call) {
--- a/bench/src/main/java/org/jasminehub/bench/routing/Measurement.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Measurement.java
@@ -6,18 +6,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one run measured, over the calls that arrived after the warm-up.
+ * The results of one run, for the calls that arrived after the warm-up.
  *
- * @param firstTokenMillis times to the first token of urgent calls that were answered
- * @param gapMicros times between tokens
- * @param offered calls offered
- * @param inTime calls answered in their deadline
- * @param urgentOffered urgent calls offered
- * @param urgentPrompt urgent calls whose first token came within the target
- * @param capacityShare the work answered in time, relative to the endpoints' capacity
- * @param worstShare the lowest share that a workspace got of what it was entitled to
- * @param hitShare the share of tokens of shared beginnings that were found in a cache
- * @param retries retries for each call
+ * @param firstTokenMillis the time to the first token of each urgent call that received one
+ * @param gapMicros the times between tokens
+ * @param offered the number of calls
+ * @param inTime the number of calls completed within their deadline
+ * @param urgentOffered the number of urgent calls
+ * @param urgentWithinTarget the number of urgent calls whose first token arrived within the target
+ * @param goodputRatio the work completed within deadlines, relative to the endpoints' capacity
+ * @param minFairShare the completed work of the worst-served workspace, relative to its max-min fair share
+ * @param prefixHitRatio the share of prefix tokens that were found in a prefix cache
+ * @param retriesPerCall the mean number of retries of a call
  */
 record Measurement(
         Histogram firstTokenMillis,
@@ -25,17 +25,17 @@
         long offered,
         long inTime,
         long urgentOffered,
-        long urgentPrompt,
-        double capacityShare,
-        double worstShare,
-        double hitShare,
-        double retries) {
+        long urgentWithinTarget,
+        double goodputRatio,
+        double minFairShare,
+        double prefixHitRatio,
+        double retriesPerCall) {
     static final double FIRST_TOKEN_TARGET_MILLIS = 570;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    static Measurement of(Scenario scenario, List<Call> all, Histogram gapMicros) {
-        List<Call> calls = all.stream()
+    static Measurement of(Scenario scenario, List<Call> allCalls, Histogram gapMicros) {
+        List<Call> calls = allCalls.stream()
                 .filter(call -> call.arrivedMillis >= Scenario.WARM_UP_MILLIS)
                 .toList();
         Histogram firstTokenMillis = new Histogram(3);
@@ -58,7 +58,7 @@
                         .filter(call -> delayMillis(scenario, call) <= FIRST_TOKEN_TARGET_MILLIS)
                         .count(),
                 inTimeWork(calls) / (averageWork(calls) * scenario.deployment().capacityPerSecond() * seconds),
-                worstShare(calls),
+                minFairShare(calls),
                 (double) answered.stream().mapToLong(call -> call.hitTokens).sum()
                         / Math.max(
                                 1,
@@ -91,23 +91,24 @@
         return calls.stream().mapToDouble(Measurement::work).average().orElse(1);
     }
 
-    /** Divides the work done by max-min fairness and compares each workspace's part with its entitlement. */
-    private static double worstShare(List<Call> calls) {
+    /** Returns the lowest ratio of a workspace's completed work to its max-min fair share of all completed work. */
+    private static double minFairShare(List<Call> calls) {
         Map<String, Double> offered = new HashMap<>();
-        Map<String, Double> done = new HashMap<>();
+        Map<String, Double> completed = new HashMap<>();
         for (Call call : calls) {
             offered.merge(call.workspace.value(), work(call), Double::sum);
-            done.merge(call.workspace.value(), call.isInTime() ? work(call) : 0, Double::sum);
+            completed.merge(call.workspace.value(), call.isInTime() ? work(call) : 0, Double::sum);
         }
-        double left = done.values().stream().mapToDouble(Double::doubleValue).sum();
+        double remainingWork =
+                completed.values().stream().mapToDouble(Double::doubleValue).sum();
         List<Map.Entry<String, Double>> byDemand =
                 offered.entrySet().stream().sorted(Map.Entry.comparingByValue()).toList();
-        double worst = 1;
+        double minShare = 1;
         for (int i = 0; i < byDemand.size(); i++) {
-            double entitled = Math.min(byDemand.get(i).getValue(), left / (byDemand.size() - i));
-            left -= entitled;
-            worst = Math.min(worst, done.getOrDefault(byDemand.get(i).getKey(), 0.0) / entitled);
+            double entitled = Math.min(byDemand.get(i).getValue(), remainingWork / (byDemand.size() - i));
+            remainingWork -= entitled;
+            minShare = Math.min(minShare, completed.getOrDefault(byDemand.get(i).getKey(), 0.0) / entitled);
         }
-        return worst;
+        return minShare;
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/routing/RoutingBench.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/RoutingBench.java
@@ -16,9 +16,9 @@
 import org.jasminehub.core.routing.RoundRobinPolicy;
 
 /**
- * Compares endpoint policies with simple baselines, and admission with an unbounded queue.
+ * Compares the endpoint policies with simple baselines, and admission control with an unbounded queue.
  *
- * <p>A run takes fixed seeds and a manual clock, so that its figures are the same each time.
+ * <p>Runs use fixed seeds and a manual clock, so that the results are reproducible.
  *
  * <pre>{@code
  * RoutingBench.run(System.out);
@@ -34,7 +34,7 @@
 
     private RoutingBench() {}
 
-    /** Prints the targets and the tables. */
+    /** Runs the simulations and prints the targets and the tables; {@code arguments} is ignored. */
     public static void run(PrintStream out, String... arguments) {
         out.println("Targets: first token of urgent calls within 570 ms and 30 ms between tokens for 95 in 100;");
         out.println("at 2x and 4x the capacity, work in time at least 90 % of the capacity and every workspace at");
@@ -42,13 +42,13 @@
                 "least 90 % of its max-min fair part. Capacity is counted without prefix hits. Mean of seeds 1 and 2.");
         for (Deployment deployment : List.of(Deployment.campaigns(), Deployment.pastures())) {
             for (double lagMillis : LAGS_MILLIS) {
-                table(out, new Scenario(deployment, 0.7, lagMillis, STRAGGLER_FACTOR), true);
+                printTable(out, new Scenario(deployment, 0.7, lagMillis, STRAGGLER_FACTOR), true);
             }
-            table(out, new Scenario(deployment, 0.9, 1000, 1), true);
+            printTable(out, new Scenario(deployment, 0.9, 1000, 1), true);
             for (double loadFactor : new double[] {2, 4}) {
-                table(out, new Scenario(deployment, loadFactor, 1000, STRAGGLER_FACTOR), true);
+                printTable(out, new Scenario(deployment, loadFactor, 1000, STRAGGLER_FACTOR), true);
             }
-            table(out, new Scenario(deployment, 2, 1000, STRAGGLER_FACTOR), false);
+            printTable(out, new Scenario(deployment, 2, 1000, STRAGGLER_FACTOR), false);
         }
     }
 
@@ -63,14 +63,14 @@
     }
 
     private static EndpointPolicy firstToken(int sampleSize, RandomGenerator random) {
-        NetworkDistance distance = NetworkDistance.uniform(Deployment.ACROSS_DOMAINS_MILLIS);
+        NetworkDistance distance = NetworkDistance.uniform(Deployment.CROSS_DOMAIN_DELAY_MILLIS);
         return new FirstTokenPolicy(
                 new FirstTokenEstimate(distance, REPORT_HALF_LIFE_MILLIS, Deployment.ENTRIES), sampleSize, random);
     }
 
-    private static void table(PrintStream out, Scenario scenario, boolean admits) {
+    private static void printTable(PrintStream out, Scenario scenario, boolean hasAdmissionControl) {
         out.println();
-        out.println("## " + scenario + (admits ? "" : ", unbounded queue without admission"));
+        out.println("## " + scenario + (hasAdmissionControl ? "" : ", unbounded queue without admission"));
         out.printf(
                 "%-20s %7s %7s %7s %8s %8s %9s %9s %8s %8s %8s%n",
                 "policy",
@@ -85,16 +85,19 @@
                 "hits",
                 "retries");
         List<String> rows = policies().entrySet().parallelStream()
-                .map(entry -> row(entry.getKey(), scenario, entry.getValue(), admits))
+                .map(entry -> measureRow(entry.getKey(), scenario, entry.getValue(), hasAdmissionControl))
                 .toList();
         rows.forEach(out::println);
     }
 
-    private static String row(
-            String name, Scenario scenario, Function<RandomGenerator, EndpointPolicy> policy, boolean admits) {
+    private static String measureRow(
+            String name,
+            Scenario scenario,
+            Function<RandomGenerator, EndpointPolicy> policy,
+            boolean hasAdmissionControl) {
         List<Measurement> runs = Arrays.stream(SEEDS)
                 .parallel()
-                .mapToObj(seed -> new Simulation(scenario, policy, admits, seed).run())
+                .mapToObj(seed -> new Simulation(scenario, policy, hasAdmissionControl, seed).run())
                 .toList();
         return String.format(
                 "%-20s %7.0f %7.0f %7.0f %8.1f %7.1f%% %8.1f%% %8.1f%% %7.1f%% %7.1f%% %8.3f",
@@ -103,15 +106,15 @@
                 mean(runs, run -> (double) run.firstTokenMillis().getValueAtPercentile(95)),
                 mean(runs, run -> (double) run.firstTokenMillis().getValueAtPercentile(99)),
                 mean(runs, run -> run.gapMicros().getValueAtPercentile(95) / MICROS_PER_MILLI),
-                mean(runs, run -> (double) FULL_PERCENT * run.urgentPrompt() / run.urgentOffered()),
+                mean(runs, run -> (double) FULL_PERCENT * run.urgentWithinTarget() / run.urgentOffered()),
                 mean(runs, run -> (double) FULL_PERCENT * run.inTime() / run.offered()),
-                mean(runs, run -> FULL_PERCENT * run.capacityShare()),
-                mean(runs, run -> FULL_PERCENT * run.worstShare()),
-                mean(runs, run -> FULL_PERCENT * run.hitShare()),
-                mean(runs, Measurement::retries));
+                mean(runs, run -> FULL_PERCENT * run.goodputRatio()),
+                mean(runs, run -> FULL_PERCENT * run.minFairShare()),
+                mean(runs, run -> FULL_PERCENT * run.prefixHitRatio()),
+                mean(runs, Measurement::retriesPerCall));
     }
 
-    private static double mean(List<Measurement> runs, Function<Measurement, Double> figure) {
-        return runs.stream().mapToDouble(figure::apply).average().orElse(0);
+    private static double mean(List<Measurement> runs, Function<Measurement, Double> metric) {
+        return runs.stream().mapToDouble(metric::apply).average().orElse(0);
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/routing/Scenario.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Scenario.java
@@ -1,12 +1,12 @@
 package org.jasminehub.bench.routing;
 
 /**
- * One load on one deployment.
+ * A deployment with a load, a delay of load reports and a straggler.
  *
- * @param deployment the deployment
+ * @param deployment the simulated deployment
  * @param loadFactor the offered load relative to the capacity
- * @param lagMillis how old load reports are when they come, and how long lies between them
- * @param stragglerFactor by how much one group's steps grow in the middle third of the run
+ * @param lagMillis the age of a load report on arrival, which is also the interval between reports
+ * @param stragglerFactor the factor by which one engine's steps are longer in the middle third of the run
  */
 record Scenario(Deployment deployment, double loadFactor, double lagMillis, double stragglerFactor) {
     static final double WARM_UP_MILLIS = 10_000;
--- a/bench/src/main/java/org/jasminehub/bench/routing/Simulation.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Simulation.java
@@ -11,26 +11,31 @@
 import org.jasminehub.core.routing.EndpointPolicy;
 import org.jasminehub.core.routing.LoadReport;
 
-/** One run of a scenario under one policy. */
+/** Simulates one scenario under one endpoint policy. */
 final class Simulation {
     private static final int ENTRIES_PER_WORKSPACE = 3;
     private static final int STRAGGLER = 4;
 
     private final Scenario scenario;
-    private final Schedule schedule = new Schedule();
+    private final EventScheduler scheduler = new EventScheduler();
     private final Histogram gapMicros = new Histogram(3);
     private final List<FakeAgent> agents = new ArrayList<>();
     private final List<FakeEntry> entries = new ArrayList<>();
     private final Random random;
 
-    Simulation(Scenario scenario, Function<RandomGenerator, EndpointPolicy> policy, boolean admits, long seed) {
+    Simulation(
+            Scenario scenario,
+            Function<RandomGenerator, EndpointPolicy> policy,
+            boolean hasAdmissionControl,
+            long seed) {
         this.scenario = scenario;
         this.random = new Random(seed);
         for (int i = 0; i < Deployment.ENDPOINTS; i++) {
-            agents.add(new FakeAgent(schedule, new EndpointId("text-" + i), domain(i), admits, gapMicros));
+            agents.add(
+                    new FakeAgent(scheduler, new EndpointId("text-" + i), domain(i), hasAdmissionControl, gapMicros));
         }
         for (int i = 0; i < Deployment.ENTRIES; i++) {
-            entries.add(new FakeEntry(schedule, domain(i), policy.apply(new Random(seed * 31 + i)), agents));
+            entries.add(new FakeEntry(scheduler, domain(i), policy.apply(new Random(seed * 31 + i)), agents));
         }
     }
 
@@ -39,27 +44,27 @@
     }
 
     Measurement run() {
-        List<Call> calls = new Workload(scenario, random).draw();
+        List<Call> calls = new Workload(scenario, random).generate();
         for (Call call : calls) {
             int workspace = Integer.parseInt(call.workspace.value().substring(1));
             FakeEntry entry = entries.get((workspace + random.nextInt(ENTRIES_PER_WORKSPACE)) % Deployment.ENTRIES);
             double callerMillis = scenario.deployment().callerMillis();
-            schedule.after(call.arrivedMillis + callerMillis, () -> entry.take(call));
+            scheduler.schedule(call.arrivedMillis + callerMillis, () -> entry.accept(call));
         }
-        agents.forEach(agent -> schedule.after(random.nextDouble() * scenario.lagMillis(), () -> report(agent)));
+        agents.forEach(agent -> scheduler.schedule(random.nextDouble() * scenario.lagMillis(), () -> report(agent)));
         double third = Scenario.LOAD_MILLIS / 3;
         FakeAgent straggler = agents.get(STRAGGLER);
-        schedule.after(third, () -> straggler.setSlowFactor(scenario.stragglerFactor()));
-        schedule.after(2 * third, () -> straggler.setSlowFactor(1));
-        schedule.runUntil(Scenario.END_MILLIS);
+        scheduler.schedule(third, () -> straggler.setSlowFactor(scenario.stragglerFactor()));
+        scheduler.schedule(2 * third, () -> straggler.setSlowFactor(1));
+        scheduler.runUntil(Scenario.END_MILLIS);
         return Measurement.of(scenario, calls, gapMicros);
     }
 
     private void report(FakeAgent agent) {
         LoadReport report = agent.report();
         long lagMillis = (long) scenario.lagMillis();
-        schedule.after(
+        scheduler.schedule(
                 lagMillis, () -> entries.forEach(entry -> entry.tracker().recordReport(agent.id(), report, lagMillis)));
-        schedule.after(lagMillis, () -> report(agent));
+        scheduler.schedule(lagMillis, () -> report(agent));
     }
 }
--- a/bench/src/main/java/org/jasminehub/bench/routing/Workload.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/Workload.java
@@ -7,9 +7,11 @@
 import org.jasminehub.core.routing.PromptPrefix;
 
 /**
- * Draws requests of ten workspaces, three of them large, with drifting topics and bursts of one large workspace.
+ * Generates the requests of ten workspaces, three of them large, with drifting topics and bursts of one large
+ * workspace.
  *
- * <p>The small workspaces offer the same at every load factor; what is above the capacity comes from the large ones.
+ * <p>From load factor 1 on, the load of the small workspaces is constant; the load above the capacity comes from the
+ * large workspaces.
  */
 final class Workload {
     private static final double SMALL_SHARE = 0.04;
@@ -30,20 +32,20 @@
         this.random = random;
     }
 
-    /** Returns the calls of a whole run in the order of their arrival. */
-    List<Call> draw() {
+    /** Returns the calls of a run, grouped by workspace and ordered by arrival within each workspace. */
+    List<Call> generate() {
         List<Call> calls = new ArrayList<>();
         for (int workspace = 0; workspace < Deployment.WORKSPACES; workspace++) {
             double nowMillis = 0;
             while (nowMillis < Scenario.LOAD_MILLIS) {
-                nowMillis += -Math.log(1 - random.nextDouble()) / perMilli(workspace, nowMillis);
-                calls.add(call(workspace, nowMillis));
+                nowMillis += -Math.log(1 - random.nextDouble()) / callsPerMilli(workspace, nowMillis);
+                calls.add(nextCall(workspace, nowMillis));
             }
         }
         return calls;
     }
 
-    private double perMilli(int workspace, double nowMillis) {
+    private double callsPerMilli(int workspace, double nowMillis) {
         int small = Deployment.WORKSPACES - Deployment.LARGE_WORKSPACES;
         double large = (scenario.loadFactor() - small * SMALL_SHARE * Math.min(1, scenario.loadFactor()))
                 / Deployment.LARGE_WORKSPACES;
@@ -57,18 +59,18 @@
         return workspace < Deployment.LARGE_WORKSPACES;
     }
 
-    private Call call(int workspace, double nowMillis) {
-        RequestShape shape = shape();
-        int spread = isLarge(workspace) ? TOPICS : TOPICS / 4;
+    private Call nextCall(int workspace, double nowMillis) {
+        RequestShape shape = drawShape();
+        int topicCount = isLarge(workspace) ? TOPICS : TOPICS / 4;
         double skewed = random.nextDouble() * random.nextDouble();
-        long topic = (long) (nowMillis / DRIFT_MILLIS_PER_TOPIC) + (long) (skewed * spread);
+        long topic = (long) (nowMillis / DRIFT_MILLIS_PER_TOPIC) + (long) (skewed * topicCount);
         long hash = workspace * 1_000_000L + topic * FULL_PERCENT + shape.percent();
         PromptPrefix prefix = new PromptPrefix(List.of(new PromptPrefix.Block(hash, shape.prefixTokens())));
         long answerTokens = (long) (shape.answerTokens() * (0.5 + random.nextDouble()));
         return new Call(nextId++, new WorkspaceId("w" + workspace), shape, prefix, answerTokens, nowMillis);
     }
 
-    private RequestShape shape() {
+    private RequestShape drawShape() {
         int drawn = random.nextInt(FULL_PERCENT);
         for (RequestShape shape : scenario.deployment().shapes()) {
             drawn -= shape.percent();
--- a/bench/src/main/java/org/jasminehub/bench/routing/package-info.java
+++ b/bench/src/main/java/org/jasminehub/bench/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Measures endpoint policies and admission on small fakes under a manual clock. */
+/** Measures endpoint policies and admission control in a discrete-event simulation with fake engines. */
 @NullMarked
 package org.jasminehub.bench.routing;
 
