--- a/agent/src/main/java/org/jasminehub/agent/Agent.java
+++ b/agent/src/main/java/org/jasminehub/agent/Agent.java
@@ -46,7 +46,7 @@
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class Agent implements AutoCloseable {
     private static final long ANNOUNCE_MILLIS = 3_000;
--- a/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/admission/AdmissionFilter.java
@@ -26,7 +26,7 @@
  * Queues calls until the engine has capacity for them, and refuses calls that the engine cannot answer in time.
  *
  * <p>{@link #advance} must be called every {@value #ADVANCE_INTERVAL_MILLIS} ms, and {@link #onLoad} with each load
- * report of the engine. Safe for use by several threads.
+ * report of the engine. Thread-safe.
  */
 public final class AdmissionFilter implements CallFilter {
     /** The interval at which {@link #advance} must be called. */
--- a/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/AgentCall.java
@@ -17,7 +17,7 @@
  * A call received from an entry instance, from its arrival to its end.
  *
  * <p>It accumulates the flow-control credit of the entry instance and records a cancellation, so no event is lost while
- * a filter delays the call. Safe for use by several threads.
+ * a filter delays the call. Thread-safe.
  */
 public final class AgentCall {
     private final IncomingCall incoming;
--- a/agent/src/main/java/org/jasminehub/agent/call/CallFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/CallFilter.java
@@ -11,7 +11,7 @@
  * CallFilter refuseAll = (call, next) -> call.refuse(ErrorCode.LEAVING, Outcome.NOT_RUN, 0, "shutting down");
  * }</pre>
  *
- * <p>Implementations must be safe for use by several threads and must not block.
+ * <p>Implementations must be thread-safe and must not block.
  */
 @FunctionalInterface
 public interface CallFilter {
--- a/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/DocumentVersionFilter.java
@@ -11,7 +11,7 @@
  * Refuses calls that were routed by an older version of a team's document than the newest version that an earlier call
  * carried, so that a slow entry instance cannot revert a change that callers have already seen.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class DocumentVersionFilter implements CallFilter {
     private static final long RETRY_AFTER_MILLIS = 100;
--- a/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/LeavingFilter.java
@@ -3,7 +3,7 @@
 import org.jasminehub.core.error.ErrorCode;
 import org.jasminehub.core.error.Outcome;
 
-/** Refuses new calls once the agent is shutting down. Safe for use by several threads. */
+/** Refuses new calls once the agent is shutting down. Thread-safe. */
 public final class LeavingFilter implements CallFilter {
     private volatile boolean leaving;
 
--- a/agent/src/main/java/org/jasminehub/agent/call/MetricsFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/MetricsFilter.java
@@ -5,7 +5,7 @@
 /**
  * Counts the calls that have ended, by result, and the calls that are running.
  *
- * <p>Metrics: {@code agent.calls.RESULT} (meter) and {@code agent.running} (counter). Safe for use by several threads.
+ * <p>Metrics: {@code agent.calls.RESULT} (meter) and {@code agent.running} (counter). Thread-safe.
  */
 public final class MetricsFilter implements CallFilter {
     private final MetricRegistry metrics;
--- a/agent/src/main/java/org/jasminehub/agent/call/RunningCalls.java
+++ b/agent/src/main/java/org/jasminehub/agent/call/RunningCalls.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the calls that have arrived at the agent and have not ended. Safe for use by several threads. */
+/** Counts the calls that have arrived at the agent and have not ended. Thread-safe. */
 public final class RunningCalls implements CallFilter {
     private final AtomicInteger running = new AtomicInteger();
 
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointClient.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointClient.java
@@ -13,7 +13,7 @@
 import org.jasminehub.wire.generated.CallStart;
 import org.jasminehub.wire.generated.Header;
 
-/** Sends each call to the endpoint over HTTP exactly once, without retries. Safe for use by several threads. */
+/** Sends each call to the endpoint over HTTP exactly once, without retries. Thread-safe. */
 public final class EndpointClient {
     private static final int MAX_CONNECTIONS = 512;
     private static final int MAX_OPEN_REQUESTS = 1_024;
--- a/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/EndpointRelay.java
@@ -24,7 +24,7 @@
  * Sends calls to the endpoint and relays the responses: a stream as one chunk per event, and any other response in the
  * pieces in which its bytes arrive.
  *
- * <p>A stream is complete only if the engine ended it with {@value #STREAM_END}. Safe for use by several threads.
+ * <p>A stream is complete only if the engine ended it with {@value #STREAM_END}. Thread-safe.
  */
 public final class EndpointRelay implements CallHandler {
     private static final String STREAM_END = "[DONE]";
--- a/agent/src/main/java/org/jasminehub/agent/engine/LoadReporter.java
+++ b/agent/src/main/java/org/jasminehub/agent/engine/LoadReporter.java
@@ -13,8 +13,8 @@
  * Reads the engine's load report and converts it to the message for entry instances.
  *
  * <p>For a plain service, the message contains only whether the agent accepts calls. If an engine does not respond with
- * a valid report, the message says that the agent does not accept calls. In both cases the message still shows peers
- * that the agent is alive. Safe for use by several threads.
+ * a valid report, the message states that the agent does not accept calls. In both cases the message still shows peers
+ * that the agent is alive. Thread-safe.
  */
 public final class LoadReporter {
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/agent/src/main/java/org/jasminehub/agent/lease/OrderFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/lease/OrderFilter.java
@@ -20,7 +20,7 @@
  * router.on(ControlRequest.BodyCase.ORDER, new OrderFilter(gate, engineOrders::send));
  * }</pre>
  *
- * <p>Orders are forwarded one at a time, in the sequence in which they were admitted. Safe for use by several threads.
+ * <p>Orders are forwarded one at a time, in the sequence in which they were admitted. Thread-safe.
  */
 public final class OrderFilter implements ControlHandler {
     private final OrderGate gate;
--- a/agent/src/main/java/org/jasminehub/agent/operation/OperationFilter.java
+++ b/agent/src/main/java/org/jasminehub/agent/operation/OperationFilter.java
@@ -33,7 +33,7 @@
  * calls without a ticket.
  *
  * <p>A run that has started continues even if the caller's connection is lost, so that a retry receives its result. The
- * headers of the call, which include the ticket, are not sent to the service. Safe for use by several threads.
+ * headers of the call, which include the ticket, are not sent to the service. Thread-safe.
  */
 public final class OperationFilter implements CallFilter {
     private static final int BODY_TIMEOUT_MILLIS = 30_000;
--- a/agent/src/main/java/org/jasminehub/agent/operation/OperationGuard.java
+++ b/agent/src/main/java/org/jasminehub/agent/operation/OperationGuard.java
@@ -24,10 +24,7 @@
 import org.jasminehub.wire.generated.Hello;
 import org.jasminehub.wire.generated.TicketReply;
 
-/**
- * Synchronizes access to an agent's {@link AtMostOnceGuard} and handles operation messages. Safe for use by several
- * threads.
- */
+/** Synchronizes access to an agent's {@link AtMostOnceGuard} and handles operation messages. Thread-safe. */
 public final class OperationGuard {
     private final AtMostOnceGuard guard;
     private final Clock clock;
--- a/core/src/main/java/org/jasminehub/core/answer/InterruptionDecision.java
+++ b/core/src/main/java/org/jasminehub/core/answer/InterruptionDecision.java
@@ -11,9 +11,9 @@
     /** Another attempt may produce the response from the start. */
     record Restart() implements InterruptionDecision {}
 
-    /** Report to the caller that the response is incomplete. */
+    /** The caller is informed that the response is incomplete. */
     record GiveUp(ErrorCode code, Outcome outcome) implements InterruptionDecision {}
 
-    /** Do nothing, since the attempt is not the newest or the response has already ended. */
+    /** Nothing is done, since the attempt is not the newest or the response has already ended. */
     record Ignore() implements InterruptionDecision {}
 }
--- a/core/src/main/java/org/jasminehub/core/balance/CallQueuePolicy.java
+++ b/core/src/main/java/org/jasminehub/core/balance/CallQueuePolicy.java
@@ -52,7 +52,7 @@
     private final Clock clock;
     private final Deque<Long> endTimesMillis = new ArrayDeque<>();
 
-    /** Creates a policy without a measured drain rate. */
+    /** Creates a policy that has recorded no calls yet. */
     public CallQueuePolicy(Clock clock) {
         this.clock = clock;
     }
@@ -102,7 +102,7 @@
      * Returns the time after which a refused caller should retry.
      *
      * @param waiting the number of calls in the queue
-     * @param position the position of this caller within the jitter range, from 0 (inclusive) to 1 (exclusive)
+     * @param position the position of this caller within the jitter range, from 0 to 1, both inclusive
      */
     public long retryAfterMillis(int waiting, double position) {
         Checks.inRange("position", position, 0, 1);
--- a/core/src/main/java/org/jasminehub/core/balance/StreamConcurrencyLimit.java
+++ b/core/src/main/java/org/jasminehub/core/balance/StreamConcurrencyLimit.java
@@ -35,8 +35,8 @@
     private static final double MAX_GAP_FACTOR = 2;
 
     /**
-     * Load of the most loaded rank relative to the mean, right after a shift of expert demand. It was 2.0 to 3.4 after
-     * the shifts in recorded traffic.
+     * Load of the most loaded rank relative to the mean, right after a shift of expert demand. Observed values are
+     * 2.0 to 3.4.
      */
     private static final double SKEW_AFTER_SHIFT = 3;
 
--- a/core/src/main/java/org/jasminehub/core/document/DocumentYamlAdapter.java
+++ b/core/src/main/java/org/jasminehub/core/document/DocumentYamlAdapter.java
@@ -12,7 +12,7 @@
  * TeamDocument document = new DocumentYamlAdapter().read(Files.readString(path));
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class DocumentYamlAdapter {
     /** The maximum length of a document. */
--- a/core/src/main/java/org/jasminehub/core/experts/change/GroupReadiness.java
+++ b/core/src/main/java/org/jasminehub/core/experts/change/GroupReadiness.java
@@ -24,7 +24,7 @@
         missingRanks = List.copyOf(missingRanks);
     }
 
-    /** Returns the readiness of a group; {@code reachable} tells for each rank whether it can be reached. */
+    /** Returns the readiness of a group; {@code reachable} states for each rank whether it can be reached. */
     public static GroupReadiness of(String group, List<Boolean> reachable, ChangeState state) {
         List<Integer> missing = IntStream.range(0, reachable.size())
                 .filter(rank -> !reachable.get(rank) || !hasJoined(state, rank))
--- a/core/src/main/java/org/jasminehub/core/experts/placement/DemandWindow.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/DemandWindow.java
@@ -33,8 +33,8 @@
     private static final int MIN_BUCKETS = 2;
 
     /**
-     * The minimum share of choices that moved to other experts at a shift. In a benchmark run (e0f8fc1b), this share
-     * was at most 0.12 in nine of ten windows between shifts and at least 0.34 at each of five shifts.
+     * The minimum share of choices that moved to other experts at a shift. Observed shares are at most 0.12 in nine of
+     * ten windows between shifts and at least 0.34 at each of five shifts.
      */
     private static final double SHIFT_DISTANCE = 0.22;
 
--- a/core/src/main/java/org/jasminehub/core/experts/placement/RankOrder.java
+++ b/core/src/main/java/org/jasminehub/core/experts/placement/RankOrder.java
@@ -11,15 +11,15 @@
 public record RankOrder(int rank, Kind kind, long version, long step) {
     /** The operation that a rank is ordered to carry out. */
     public enum Kind {
-        /** Copy the experts that the new map requires. */
+        /** Copies the experts that the new map requires. */
         PREPARE,
-        /** Switch to the prepared map when the step begins. */
+        /** Switches to the prepared map when the step begins. */
         ARM,
-        /** Cancel an armed map. */
+        /** Cancels an armed map. */
         DISARM,
-        /** Do not begin the step before it is released. */
+        /** Prevents the step from beginning before it is released. */
         HOLD,
-        /** Release the held step. */
+        /** Releases the held step. */
         RELEASE
     }
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseAction.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseAction.java
@@ -2,10 +2,10 @@
 
 /** The operation that the writer of a lease record requests. */
 public enum LeaseAction {
-    /** Acquire the lease. */
+    /** Acquires the lease. */
     CLAIM,
-    /** Extend a lease that the writer holds. */
+    /** Extends a lease that the writer holds. */
     RENEW,
-    /** Give up the lease before it expires. */
+    /** Releases the lease before it expires. */
     RELEASE
 }
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseManager.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseManager.java
@@ -26,7 +26,7 @@
  * Optional<Long> fencingNumber = manager.heldFencingNumber(shard, clock.monotonicMillis());
  * }</pre>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class LeaseManager {
     private final InstanceId self;
@@ -102,7 +102,7 @@
         return appends;
     }
 
-    /** Gives up all leases permanently and returns the records that announce this to the other instances. */
+    /** Releases all leases permanently and returns the records that announce this to the other instances. */
     public List<LeaseRecord> releaseAll(long nowMillis) {
         List<LeaseRecord> appends = new ArrayList<>();
         candidates.forEach((shard, candidate) -> {
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseRecordCodec.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseRecordCodec.java
@@ -19,7 +19,7 @@
  * Optional<LeaseRecord> read = codec.decode(payload);
  * }</pre>
  *
- * <p>Unknown fields are ignored. Safe for use by several threads.
+ * <p>Unknown fields are ignored. Thread-safe.
  */
 public final class LeaseRecordCodec {
     /** The {@code type} of a lease record. */
--- a/core/src/main/java/org/jasminehub/core/lease/LeaseTable.java
+++ b/core/src/main/java/org/jasminehub/core/lease/LeaseTable.java
@@ -19,7 +19,7 @@
  * long number = table.state(shard).fencingNumber();
  * }</pre>
  *
- * <p>Records must be applied in the order of their offsets. Not safe for use by several threads.
+ * <p>Records must be applied in the order of their offsets. Not thread-safe.
  */
 public final class LeaseTable {
     private final Map<ShardId, LeaseState> states = new HashMap<>();
--- a/core/src/main/java/org/jasminehub/core/lease/OrderGate.java
+++ b/core/src/main/java/org/jasminehub/core/lease/OrderGate.java
@@ -21,7 +21,7 @@
  * }
  * }</pre>
  *
- * <p>Not safe for use by several threads; an order must be sent to the engine before the next order is checked.
+ * <p>Not thread-safe; an order must be sent to the engine before the next order is checked.
  */
 public final class OrderGate {
     private static final long UNKNOWN_NUMBER = -1;
--- a/core/src/main/java/org/jasminehub/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/jasminehub/core/membership/FailureDetector.java
@@ -17,7 +17,10 @@
         this.silenceMillis = silenceMillis;
     }
 
-    /** Replaces the set of watched members; a new member counts as heard now, which gives it time to send a message. */
+    /**
+     * Replaces the set of watched members. The time-out of a new member starts now, so that it has time to send a
+     * message.
+     */
     void watch(Collection<InstanceId> ids, long nowMillis) {
         lastContactMillis.keySet().retainAll(ids);
         ids.forEach(id -> lastContactMillis.putIfAbsent(id, nowMillis));
--- a/core/src/main/java/org/jasminehub/core/membership/GossipBuffer.java
+++ b/core/src/main/java/org/jasminehub/core/membership/GossipBuffer.java
@@ -13,7 +13,7 @@
  * <p>Each fact is sent a limited number of times, the least often sent first, so that traffic grows with the number of
  * changes and not with the number of members. A peer that misses a fact obtains it by comparing digests.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class GossipBuffer {
     private final int sendsPerFact;
--- a/core/src/main/java/org/jasminehub/core/membership/MemberFacts.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MemberFacts.java
@@ -24,7 +24,7 @@
  * }
  * }</pre>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class MemberFacts {
     private static final int BUCKET_COUNT = 64;
--- a/core/src/main/java/org/jasminehub/core/membership/MembershipView.java
+++ b/core/src/main/java/org/jasminehub/core/membership/MembershipView.java
@@ -26,7 +26,7 @@
  * List<MemberStatus> usable = view.members(nowMillis).stream().filter(MemberStatus::acceptsNewWork).toList();
  * }</pre>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class MembershipView {
     private final MembershipSettings settings;
--- a/core/src/main/java/org/jasminehub/core/operation/AtMostOnceGuard.java
+++ b/core/src/main/java/org/jasminehub/core/operation/AtMostOnceGuard.java
@@ -29,7 +29,7 @@
  * }
  * }</pre>
  *
- * <p>Arguments must not be null. Not safe for use by several threads.
+ * <p>Arguments must not be null. Not thread-safe.
  */
 public final class AtMostOnceGuard {
     private final AgentIncarnation self;
--- a/core/src/main/java/org/jasminehub/core/operation/HomeTableHistory.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HomeTableHistory.java
@@ -15,7 +15,7 @@
  *
  * <p>A key is settled once its previous home has handed it over and no quarantine passed on with the handover covers
  * it. Without a handover, it is settled once the quarantine time has passed since the table that moved the key was
- * received. Not safe for use by several threads.
+ * received. Not thread-safe.
  */
 final class HomeTableHistory {
     private static final long FIRST_EPOCH = 1;
@@ -30,6 +30,7 @@
     private final long quarantineMillis;
     private final List<LearnedTable> tables = new ArrayList<>();
     private final Map<AgentIncarnation, ReceivedHandover> handovers = new HashMap<>();
+
     /** Whether every earlier table is known under which a home may still run an operation. */
     private boolean isComplete;
 
--- a/core/src/main/java/org/jasminehub/core/operation/HomeTableReplay.java
+++ b/core/src/main/java/org/jasminehub/core/operation/HomeTableReplay.java
@@ -9,7 +9,7 @@
  * Replays the home table changes on the log. A change takes effect only if its base epoch is the epoch of the table in
  * force at its offset.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class HomeTableReplay {
     private static final int MAX_TABLES_PER_SERVICE = 64;
--- a/core/src/main/java/org/jasminehub/core/operation/OperationCall.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationCall.java
@@ -20,7 +20,7 @@
  * step = call.onTicketReply(reply);
  * }</pre>
  *
- * <p>Arguments must not be null. Not safe for use by several threads.
+ * <p>Arguments must not be null. Not thread-safe.
  */
 public final class OperationCall {
     private static final int MAX_HOMES_ASKED = 3;
--- a/core/src/main/java/org/jasminehub/core/operation/OperationLedger.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationLedger.java
@@ -14,7 +14,7 @@
  * The operation records of an agent, oldest first and limited in number and size.
  *
  * <p>A complete record is kept for the retention time; after that only the operation's id is kept, until {@link
- * LedgerLimits#maxExpired()} newer ids have expired. Not safe for use by several threads.
+ * LedgerLimits#maxExpired()} newer ids have expired. Not thread-safe.
  */
 final class OperationLedger {
     private final LedgerLimits limits;
--- a/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationMessageCodec.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.jasminehub.core.error.InvalidArgumentException;
 
-/** Converts operation messages, tickets and log records to and from JSON. Safe for use by several threads. */
+/** Converts operation messages, tickets and log records to and from JSON. Thread-safe. */
 public final class OperationMessageCodec {
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
--- a/core/src/main/java/org/jasminehub/core/operation/OperationStep.java
+++ b/core/src/main/java/org/jasminehub/core/operation/OperationStep.java
@@ -2,18 +2,18 @@
 
 /** The next action of an entry instance for an operation. */
 public sealed interface OperationStep {
-    /** Request a ticket from {@code home}. */
+    /** Requests a ticket from {@code home}. */
     record RequestTicket(AgentIncarnation home) implements OperationStep {}
 
-    /** Send the request with its ticket to the ticket's issuer. */
+    /** Sends the request with its ticket to the ticket's issuer. */
     record SendRequest(OperationTicket ticket) implements OperationStep {}
 
-    /** Request a revocation from {@code home}, on a new connection if the previous one was lost. */
+    /** Requests a revocation from {@code home}, on a new connection if the previous one was lost. */
     record RequestRevocation(AgentIncarnation home) implements OperationStep {}
 
-    /** Do nothing; the event was not the one that the call is waiting for. */
+    /** Does nothing; the event was not the one that the call is waiting for. */
     record Wait() implements OperationStep {}
 
-    /** Send the final answer to the caller. */
+    /** Sends the final answer to the caller. */
     record AnswerCaller(OperationAnswer answer) implements OperationStep {}
 }
--- a/core/src/main/java/org/jasminehub/core/time/ManualClock.java
+++ b/core/src/main/java/org/jasminehub/core/time/ManualClock.java
@@ -11,7 +11,7 @@
  * clock.advanceMillis(250);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class ManualClock implements Clock {
     private final AtomicLong nowMillis;
--- a/core/src/main/java/org/jasminehub/core/yaml/StrictYamlReader.java
+++ b/core/src/main/java/org/jasminehub/core/yaml/StrictYamlReader.java
@@ -28,7 +28,7 @@
  * TeamDocument document = new StrictYamlReader().read(text, TeamDocument.class);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class StrictYamlReader {
     private static final int MAX_SHOWN_CHARACTERS = 60;
--- a/core/src/test/java/org/jasminehub/core/experts/change/Rules.java
+++ b/core/src/test/java/org/jasminehub/core/experts/change/Rules.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The protocol rules of a modelled group. Each fault replaces one of the sound rules.
+ * The protocol rules of a modelled group. Each fault replaces one of the correct rules.
  *
  * @param begin how a rank begins a step
  * @param apply how a rank applies an order
--- a/entry/src/main/java/org/jasminehub/entry/EntryInstance.java
+++ b/entry/src/main/java/org/jasminehub/entry/EntryInstance.java
@@ -47,7 +47,7 @@
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class EntryInstance implements AutoCloseable {
     private static final int ADDRESSES_PER_WORKSPACE = 3;
--- a/entry/src/main/java/org/jasminehub/entry/control/ControlThread.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/ControlThread.java
@@ -14,7 +14,7 @@
  * control.execute(() -> control.update(state -> state.withMembers(members)));
  * }</pre>
  *
- * <p>{@link #update} must be called on this thread only; the other methods are safe for use by several threads.
+ * <p>{@link #update} must be called on this thread only; the other methods are thread-safe.
  */
 public final class ControlThread implements Executor, AutoCloseable {
     private volatile ControlState state = ControlState.empty();
--- a/entry/src/main/java/org/jasminehub/entry/control/documents/WirePeerClient.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/documents/WirePeerClient.java
@@ -18,10 +18,7 @@
 import org.jasminehub.wire.generated.RecordsReply;
 import org.jasminehub.wire.generated.RecordsRequest;
 
-/**
- * Requests records over connections, and keeps those to the most recently used peers open. Safe for use by several
- * threads.
- */
+/** Requests records over connections, and keeps those to the most recently used peers open. Thread-safe. */
 public final class WirePeerClient implements PeerClient, AutoCloseable {
     private static final int MAX_CONNECTIONS = 4;
     private static final int TIMEOUT_MILLIS = 2_000;
--- a/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
+++ b/entry/src/main/java/org/jasminehub/entry/control/members/MembershipController.java
@@ -28,7 +28,7 @@
  * Publishes the members, merged from the platform's instance list, direct connections and reports of peers.
  *
  * <p>A member that accepts no new work for any reason is published as leaving. {@link #refresh} and
- * {@link #sendHeartbeat} must run on the control thread; the other methods are safe for use by several threads.
+ * {@link #sendHeartbeat} must run on the control thread; the other methods are thread-safe.
  */
 public final class MembershipController implements LinkObserver {
     private static final int MAX_REPORTS = 16;
--- a/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
+++ b/entry/src/main/java/org/jasminehub/entry/drain/DrainController.java
@@ -24,7 +24,7 @@
 /**
  * Counts the open requests of an entry instance and drains the instance before it stops.
  *
- * <p>A streamed response counts as an open request until its stream ends. Safe for use by several threads.
+ * <p>A streamed response counts as an open request until its stream ends. Thread-safe.
  */
 public final class DrainController implements RequestFilter {
     private static final long POLL_INTERVAL_MILLIS = 20;
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointDirectory.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointDirectory.java
@@ -20,7 +20,7 @@
 /**
  * The connections of this instance to agents.
  *
- * <p>{@link #update} must be called on the control thread; the other methods are safe for use by several threads.
+ * <p>{@link #update} must be called on the control thread; the other methods are thread-safe.
  */
 public final class EndpointDirectory implements AutoCloseable {
     private final WireGroup group;
--- a/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
+++ b/entry/src/main/java/org/jasminehub/entry/endpoint/EndpointLink.java
@@ -18,7 +18,7 @@
 import org.jasminehub.wire.generated.EndpointLoad;
 import org.jasminehub.wire.generated.Hello;
 
-/** The connection to an agent, with the state that the agent last reported. Safe for use by several threads. */
+/** The connection to an agent, with the state that the agent last reported. Thread-safe. */
 public final class EndpointLink implements AutoCloseable {
     private final EndpointId id;
     private final EndpointTracker tracker;
@@ -62,7 +62,7 @@
 
     /**
      * Returns whether new work may be sent: the agent is connected, and neither its member state nor its last
-     * hello message says that it is leaving.
+     * hello message reports that it is leaving.
      */
     public boolean isUsable() {
         return connected && member.isLive() && !peer.getLeaving();
--- a/entry/src/main/java/org/jasminehub/entry/filter/MetricsFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/MetricsFilter.java
@@ -8,8 +8,7 @@
 /**
  * Measures the time to the head of each response and counts failures by error code.
  *
- * <p>Metrics: {@code entry.requests.KIND} (timer) and {@code entry.failures.CODE} (counter). Safe for use by several
- * threads.
+ * <p>Metrics: {@code entry.requests.KIND} (timer) and {@code entry.failures.CODE} (counter). Thread-safe.
  */
 public final class MetricsFilter implements RequestFilter {
     private final MetricRegistry metrics;
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestFilter.java
@@ -11,7 +11,7 @@
  * RequestHandler chain = RequestFilter.chain(List.of(limits, operations), relay);
  * }</pre>
  *
- * <p>Implementations must be safe for use by several threads and must not block.
+ * <p>Implementations must be thread-safe and must not block.
  */
 @FunctionalInterface
 public interface RequestFilter {
--- a/entry/src/main/java/org/jasminehub/entry/filter/RequestMatcher.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/RequestMatcher.java
@@ -11,7 +11,7 @@
 import org.jasminehub.core.error.RequestException;
 import org.jasminehub.entry.control.ControlState;
 
-/** Finds the document, the route and the workspace rule of a request. Safe for use by several threads. */
+/** Finds the document, the route and the workspace rule of a request. Thread-safe. */
 public final class RequestMatcher {
     private final Supplier<ControlState> state;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/AddressShareViewSource.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/AddressShareViewSource.java
@@ -13,7 +13,7 @@
  *
  * <p>An instance that is not in the current address list may still receive requests from callers that cached an older
  * list. It allows {@code limit / (n + 1)}, where {@code n} is the number of listed instances, so the limit may be
- * exceeded by that amount until those callers refresh their lists. Safe for use by several threads.
+ * exceeded by that amount until those callers refresh their lists. Thread-safe.
  */
 public final class AddressShareViewSource implements ShareViewSource {
     private final InstanceId self;
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/LimitFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/LimitFilter.java
@@ -23,7 +23,7 @@
 import org.jasminehub.entry.filter.RequestFilter;
 import org.jasminehub.entry.filter.RequestHandler;
 
-/** Refuses requests that exceed the limits of their workspace, with a retry delay. Safe for use by several threads. */
+/** Refuses requests that exceed the limits of their workspace, with a retry delay. Thread-safe. */
 public final class LimitFilter implements RequestFilter {
     private static final int BYTES_PER_TOKEN = 4;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/limit/Permit.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/limit/Permit.java
@@ -8,9 +8,7 @@
 import org.jasminehub.core.limit.LimitDecision;
 import org.jasminehub.core.limit.WorkspaceLimiter;
 
-/**
- * A permit of a request within the limits of its workspace. Can be released only once. Safe for use by several threads.
- */
+/** A permit of a request within the limits of its workspace. Can be released only once. Thread-safe. */
 final class Permit {
     private final WorkspaceLimiter limiter;
     private final LimitDecision.Allowed allowed;
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeClient.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeClient.java
@@ -14,7 +14,7 @@
 import org.jasminehub.wire.generated.ControlRequest;
 import org.jasminehub.wire.generated.TicketRequest;
 
-/** Sends operation messages to agents. Safe for use by several threads. */
+/** Sends operation messages to agents. Thread-safe. */
 final class HomeClient {
     private final EndpointDirectory directory;
 
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeTableController.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/HomeTableController.java
@@ -72,7 +72,7 @@
         this.homeClient = new HomeClient(directory);
     }
 
-    /** Returns the newest known home table of {@code service}. Safe for use by several threads. */
+    /** Returns the newest known home table of {@code service}. Thread-safe. */
     public Optional<HomeTable> current(String service) {
         List<HomeTable> known = tables.getOrDefault(service, List.of());
         return known.isEmpty() ? Optional.empty() : Optional.of(known.get(known.size() - 1));
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationExchange.java
@@ -30,7 +30,7 @@
 /**
  * Executes the steps decided by an {@link OperationCall}: sends messages and the request itself to the home of the key.
  *
- * <p>Safe for use by several threads, because each event is processed under a lock.
+ * <p>Thread-safe, because each event is processed under a lock.
  */
 final class OperationExchange {
     private static final int MAX_REPLY_TIMEOUT_MILLIS = 2_000;
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationFilter.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationFilter.java
@@ -22,7 +22,7 @@
  *
  * <p>This filter precedes all filters that can refuse a request, so that a refusal is returned as "not run" only after
  * the home of the key has confirmed it. The handler returned by {@link #terminal} is the last step of the chain and
- * replaces the relay for these requests. Safe for use by several threads.
+ * replaces the relay for these requests. Thread-safe.
  */
 public final class OperationFilter implements RequestFilter {
     private final HomeClient homeClient;
--- a/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationKeyPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/filter/operation/OperationKeyPage.java
@@ -20,7 +20,7 @@
  * Handles {@code POST /v1/operation-keys?service=NAME}: issues an operation key whose home is a live agent of the
  * service.
  *
- * <p>This also works while the log is unavailable. Safe for use by several threads.
+ * <p>This also works while the log is unavailable. Thread-safe.
  */
 public final class OperationKeyPage {
     private static final int REPLY_TIMEOUT_MILLIS = 2_000;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Requests a key from the agents in turn until one replies. A key whose reply is lost does no harm, as nobody uses
-     * it.
+     * Requests a key from the agents in turn until one replies. A key whose reply is lost is harmless, because it is
+     * never used.
      */
     private CompletionStage<HttpResponse> requestKey(List<EndpointLink> links, String service) {
         if (links.isEmpty()) {
--- a/entry/src/main/java/org/jasminehub/entry/http/AddressPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/AddressPage.java
@@ -14,9 +14,7 @@
 import org.jasminehub.entry.EntrySettings;
 import org.jasminehub.entry.control.ControlState;
 
-/**
- * Serves the addresses of the entry instances that callers of a workspace should use. Safe for use by several threads.
- */
+/** Serves the addresses of the entry instances that callers of a workspace should use. Thread-safe. */
 final class AddressPage {
     private final Supplier<ControlState> state;
     private final AddressPolicy policy;
--- a/entry/src/main/java/org/jasminehub/entry/http/CallerServer.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/CallerServer.java
@@ -29,7 +29,7 @@
  * The HTTP server for callers and operators.
  *
  * <p>Callers: {@code POST /v1/chat/completions}, {@code /services/NAME/…}, {@code GET /v1/addresses?workspace=W}.
- * Operators: {@code GET /v1/status}. Safe for use by several threads.
+ * Operators: {@code GET /v1/status}. Thread-safe.
  */
 public final class CallerServer implements AutoCloseable {
     private static final int BODY_TIMEOUT_MILLIS = 10_000;
--- a/entry/src/main/java/org/jasminehub/entry/http/CallerServerFactory.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/CallerServerFactory.java
@@ -14,7 +14,7 @@
 import org.jasminehub.entry.filter.RequestMatcher;
 import org.jasminehub.entry.filter.operation.OperationKeyPage;
 
-/** Starts the HTTP server and registers its pages. Safe for use by several threads. */
+/** Starts the HTTP server and registers its pages. Thread-safe. */
 public final class CallerServerFactory {
     private final ActorSystem<?> system;
     private final EntrySettings settings;
--- a/entry/src/main/java/org/jasminehub/entry/http/RequestReader.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/RequestReader.java
@@ -19,7 +19,7 @@
 import org.jasminehub.entry.filter.CallerRequest;
 import org.jspecify.annotations.Nullable;
 
-/** Parses callers' requests and rejects malformed ones. Safe for use by several threads. */
+/** Parses callers' requests and rejects malformed ones. Thread-safe. */
 final class RequestReader {
     static final String CHAT_PATH = "/v1/chat/completions";
     static final String SERVICES_PREFIX = "/services/";
--- a/entry/src/main/java/org/jasminehub/entry/http/StatusPage.java
+++ b/entry/src/main/java/org/jasminehub/entry/http/StatusPage.java
@@ -9,7 +9,7 @@
 import org.jasminehub.entry.control.ControlState;
 import org.jasminehub.platform.list.MemberJson;
 
-/** Serves the documents in force and the known members to operators. Safe for use by several threads. */
+/** Serves the documents in force and the known members to operators. Thread-safe. */
 final class StatusPage {
     private final String instance;
     private final Supplier<ControlState> state;
--- a/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
+++ b/entry/src/main/java/org/jasminehub/entry/relay/Attempt.java
@@ -23,7 +23,7 @@
  * One attempt to run a request at one endpoint: receives the head of the response and then its signals in order.
  *
  * <p>Chunks are queued until they are polled. The endpoint sends no more chunks than it has credit for, so the initial
- * credit bounds the queue. Safe for use by several threads.
+ * credit bounds the queue. Thread-safe.
  */
 final class Attempt implements ResponseListener {
     private static final long RETRY_AFTER_MILLIS = 200;
--- a/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/call/RunningCall.java
@@ -239,7 +239,7 @@
         attempt = null;
         ServiceProfile serviceProfile = profile();
         if (isRetried && end == AttemptEnd.NOT_RUN && serviceProfile != null && serviceProfile.engine() != null) {
-            // An engine refuses calls while it is full or while its group is being re-formed; both take a moment.
+            // An engine refuses calls while it is full or while its group is being re-formed; both last only briefly.
             dispatcher.after(REFUSAL_RETRY_DELAY_MILLIS, () -> {
                 if (!isDone) {
                     dispatch();
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertCountDeltas.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/ExpertCountDeltas.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Computes the increases of one rank's cumulative expert counts. Not safe for use by several threads. */
+/** Computes the increases of one rank's cumulative expert counts. Not thread-safe. */
 final class ExpertCountDeltas {
     private List<Long> lastCounts = List.of();
 
--- a/gateway/src/main/java/org/jasminehub/gateway/experts/HoldMargin.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/experts/HoldMargin.java
@@ -6,7 +6,7 @@
  * Determines how many steps ahead of the current step a hold is placed.
  *
  * <p>All ranks should be armed before the held step is due, because a group that reaches it stops until the step is
- * released. Not safe for use by several threads.
+ * released. Not thread-safe.
  */
 final class HoldMargin {
     /** Initial margin: the next step may begin while the order is in transit, the step after it does not. */
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/AsyncEventSink.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/AsyncEventSink.java
@@ -17,9 +17,9 @@
  * Queues events and passes them to a sink that may block, on a thread of its own; emitting never blocks on the sink.
  *
  * <p>If the sink stalls and the queue fills up, normal events are dropped before failures. The next write ends with a
- * {@link LinesDropped} event that tells how many events of each kind were dropped.
+ * {@link LinesDropped} event with the number of dropped events of each kind.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class AsyncEventSink implements EventSink, AutoCloseable {
     /** Delay between the first queued event and the write, so that many events cost one wake-up of the writer. */
--- a/gateway/src/main/java/org/jasminehub/gateway/telemetry/MeteringEventSink.java
+++ b/gateway/src/main/java/org/jasminehub/gateway/telemetry/MeteringEventSink.java
@@ -10,7 +10,7 @@
 /**
  * Counts events by kind and calls by error code, records the durations of calls, and forwards all events.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class MeteringEventSink implements EventSink {
     private final EventSink delegate;
--- a/gateway/src/test/java/org/jasminehub/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/GatewayHarness.java
@@ -131,7 +131,7 @@
         await(() -> entry.knowsEndpoint(id, state.equals("draining")));
     }
 
-    /** Waits until a condition holds that another thread brings about. */
+    /** Waits until a condition holds that another thread establishes. */
     static void await(BooleanSupplier condition) {
         long endNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
--- a/gateway/src/test/java/org/jasminehub/gateway/telemetry/AsyncEventSinkTest.java
+++ b/gateway/src/test/java/org/jasminehub/gateway/telemetry/AsyncEventSinkTest.java
@@ -25,7 +25,7 @@
         return new CallEnded(kind, id, "r", "w", 200, code, "", "e", 1, 0, 5, 10, 20, 1, 0);
     }
 
-    /** The log sink blocks, as standard output does if nobody reads it. */
+    /** The log sink blocks, as standard output does if it is not read. */
     @Nested
     final class Stalled {
         @Test
--- a/runtime/src/main/java/org/jasminehub/runtime/log/EventLog.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/log/EventLog.java
@@ -19,7 +19,7 @@
  * events.emit(new EndpointChosen(...));
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class EventLog implements EventSink {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/runtime/src/main/java/org/jasminehub/runtime/metrics/OperationsServer.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/metrics/OperationsServer.java
@@ -23,7 +23,7 @@
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class OperationsServer implements AutoCloseable {
     private static final int OK = 200;
--- a/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/settings/SettingsLoader.java
@@ -14,7 +14,7 @@
  * EntrySettings settings = new SettingsLoader().load(path, EntrySettings.class);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class SettingsLoader {
     private final StrictYamlReader reader = new StrictYamlReader();
--- a/runtime/src/main/java/org/jasminehub/runtime/time/SystemClock.java
+++ b/runtime/src/main/java/org/jasminehub/runtime/time/SystemClock.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jasminehub.core.time.Clock;
 
-/** A clock that reads the system's monotonic and wall-clock time. Safe for use by several threads. */
+/** A clock that reads the system's monotonic and wall-clock time. Thread-safe. */
 public final class SystemClock implements Clock {
     private final InstantSource wall = InstantSource.system();
 
--- a/wire/src/main/java/org/jasminehub/wire/ControlRouter.java
+++ b/wire/src/main/java/org/jasminehub/wire/ControlRouter.java
@@ -17,7 +17,7 @@
  * router.on(ControlRequest.BodyCase.STATUS, request -> ...);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class ControlRouter implements ControlHandler {
     private final Map<ControlRequest.BodyCase, ControlHandler> handlers = new ConcurrentHashMap<>();
--- a/wire/src/main/java/org/jasminehub/wire/IncomingCall.java
+++ b/wire/src/main/java/org/jasminehub/wire/IncomingCall.java
@@ -11,7 +11,7 @@
  *
  * <p>The response consists of a head, any number of chunks and an end; a refusal ends it at any point before that.
  * Chunks may be sent only against credit: {@code start().getInitialCredit()} plus what {@link CallListener#onCredit}
- * adds. Messages sent after the call ended are dropped. Safe for use by several threads; chunks are sent in the order in
+ * adds. Messages sent after the call ended are dropped. Thread-safe; chunks are sent in the order in
  * which {@link #chunk} is called.
  */
 public interface IncomingCall {
--- a/wire/src/main/java/org/jasminehub/wire/OutgoingCall.java
+++ b/wire/src/main/java/org/jasminehub/wire/OutgoingCall.java
@@ -1,6 +1,6 @@
 package org.jasminehub.wire;
 
-/** A call that this process sent to a peer. Safe for use by several threads. */
+/** A call that this process sent to a peer. Thread-safe. */
 public interface OutgoingCall {
     /** Allows the peer to send {@code chunks} more chunks. */
     void credit(int chunks);
--- a/wire/src/main/java/org/jasminehub/wire/WireClient.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireClient.java
@@ -24,7 +24,7 @@
  * OutgoingCall call = client.call(CallStart.newBuilder()..., answerListener);
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class WireClient implements AutoCloseable {
     /** How long a peer may send nothing before its connection is closed. */
--- a/wire/src/main/java/org/jasminehub/wire/WireGroup.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireGroup.java
@@ -16,7 +16,7 @@
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class WireGroup implements AutoCloseable {
     private static final long QUIET_PERIOD_MILLIS = 0;
--- a/wire/src/main/java/org/jasminehub/wire/WireServer.java
+++ b/wire/src/main/java/org/jasminehub/wire/WireServer.java
@@ -23,7 +23,7 @@
  * int port = server.port();
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class WireServer implements AutoCloseable {
     private final Supplier<Hello> hello;
